--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -1,22 +1,22 @@
-//! Cost of one decision by number of targets and of requests waiting.
+//! Cost of one decision by number of targets and of waiting requests.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
-#[path = "../tests/loaded/mod.rs"]
-mod loaded;
+#[path = "../tests/loaded_policy/mod.rs"]
+mod loaded_policy;
 
-use loaded::Loaded;
+use loaded_policy::LoadedPolicy;
 
-/// Targets: today's, those of two years on, and ten times those.
-const TARGETS: [u32; 3] = [60, 840, 8_400];
+/// Numbers of targets.
+const TARGET_COUNTS: [u32; 3] = [60, 840, 8_400];
 
-/// Requests waiting.
-const QUEUED: [u64; 4] = [10, 100, 1_000, 10_000];
+/// Numbers of waiting requests.
+const QUEUE_LENGTHS: [u64; 4] = [10, 100, 1_000, 10_000];
 
 fn pick(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("pick");
-    for targets in TARGETS {
-        let mut loaded = Loaded::idle(targets);
+    for targets in TARGET_COUNTS {
+        let mut loaded = LoadedPolicy::idle(targets);
         group.bench_function(BenchmarkId::from_parameter(targets), |bencher| {
             bencher.iter(|| loaded.pick());
         });
@@ -25,18 +25,18 @@
 }
 
 fn admit(criterion: &mut Criterion) {
-    waiting(criterion, "admit", Loaded::admit);
+    bench_with_queue(criterion, "admit", LoadedPolicy::admit);
 }
 
 fn refuse(criterion: &mut Criterion) {
-    waiting(criterion, "refuse", Loaded::refuse);
+    bench_with_queue(criterion, "refuse", LoadedPolicy::refuse);
 }
 
-fn waiting(criterion: &mut Criterion, name: &str, decide: impl Fn(&mut Loaded)) {
+fn bench_with_queue(criterion: &mut Criterion, name: &str, decide: impl Fn(&mut LoadedPolicy)) {
     let mut group = criterion.benchmark_group(name);
-    for targets in TARGETS {
-        for queued in QUEUED {
-            let mut loaded = Loaded::full(targets, queued);
+    for targets in TARGET_COUNTS {
+        for queued in QUEUE_LENGTHS {
+            let mut loaded = LoadedPolicy::full(targets, queued);
             let case = BenchmarkId::from_parameter(format!("{targets}/{queued}"));
             group.bench_function(case, |bencher| bencher.iter(|| decide(&mut loaded)));
         }
--- a/crates/policy/src/affinity/mod.rs
+++ b/crates/policy/src/affinity/mod.rs
@@ -1,4 +1,5 @@
-//! Which targets hold which prompt prefixes, from late and gappy cache events.
+//! Index of the prompt prefixes cached at each target, built from cache events that may be late or
+//! lost.
 
 mod prefix_index;
 
--- a/crates/policy/src/affinity/prefix_index.rs
+++ b/crates/policy/src/affinity/prefix_index.rs
@@ -4,78 +4,73 @@
 
 use crate::interface::TargetKey;
 
-/// Targets remembered for one block.
-///
-/// Load: a prompt that all callers share. Harm: its list would name every target. Limit: eight
-/// are more than are looked at for one request.
-const HOLDERS_MAX: usize = 8;
+/// Maximum number of targets indexed per block, for prefixes shared by all requests.
+const TARGETS_PER_BLOCK_MAX: usize = 8;
 
-/// Blocks remembered of one target.
-///
-/// Load: removals whose event never came. Harm: blocks that are long gone draw requests, and
-/// memory grows. Limit: 4,096 blocks, first in first out, about 160 KB a target.
-const BLOCKS_MAX: usize = 4_096;
+/// Maximum number of blocks indexed per target, oldest dropped first, because removal events may be
+/// lost.
+const BLOCKS_PER_TARGET_MAX: usize = 4_096;
 
-/// An approximate map from prefix blocks to the targets that hold them.
+/// An approximate index from prefix blocks to the targets that cache them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrefixIndex {
-    holders: Map<u64, Vec<TargetKey>>,
-    blocks: Map<TargetKey, VecDeque<u64>>,
+    targets_by_block: Map<u64, Vec<TargetKey>>,
+    blocks_by_target: Map<TargetKey, VecDeque<u64>>,
 }
 
 impl PrefixIndex {
     pub(crate) fn add(&mut self, target: TargetKey, block: u64) {
-        let holders = self.holders.entry(block).or_default();
-        if holders.contains(&target) || holders.len() == HOLDERS_MAX {
+        let targets = self.targets_by_block.entry(block).or_default();
+        if targets.contains(&target) || targets.len() == TARGETS_PER_BLOCK_MAX {
             return;
         }
-        holders.push(target);
-        let blocks = self.blocks.entry(target).or_default();
+        targets.push(target);
+        let blocks = self.blocks_by_target.entry(target).or_default();
         blocks.push_back(block);
-        if blocks.len() > BLOCKS_MAX
+        if blocks.len() > BLOCKS_PER_TARGET_MAX
             && let Some(oldest) = blocks.pop_front()
         {
-            self.drop_holder(target, oldest);
+            self.remove_from_block(target, oldest);
         }
     }
 
     pub(crate) fn remove(&mut self, target: TargetKey, block: u64) {
-        self.drop_holder(target, block);
+        self.remove_from_block(target, block);
     }
 
-    /// Forgets a target that has gone or restarted with an empty cache.
-    pub(crate) fn forget(&mut self, target: TargetKey) {
-        for block in self.blocks.remove(&target).unwrap_or_default() {
-            self.drop_holder(target, block);
+    /// Removes a target that is unavailable or restarted with an empty cache.
+    pub(crate) fn remove_target(&mut self, target: TargetKey) {
+        for block in self.blocks_by_target.remove(&target).unwrap_or_default() {
+            self.remove_from_block(target, block);
         }
     }
 
-    /// Targets that hold the longest known prefix; the blocks are the request's, longest last.
-    pub(crate) fn longest(&self, blocks: &[u64]) -> &[TargetKey] {
-        let known = blocks.partition_point(|block| self.holders.contains_key(block));
-        known
+    /// Returns the targets that cache the longest indexed prefix of these blocks.
+    pub(crate) fn longest_prefix_targets(&self, blocks: &[u64]) -> &[TargetKey] {
+        let prefix_len = blocks.partition_point(|block| self.targets_by_block.contains_key(block));
+        prefix_len
             .checked_sub(1)
-            .and_then(|last| self.holders.get(&blocks[last]))
+            .and_then(|last| self.targets_by_block.get(&blocks[last]))
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Leading blocks that any target is known to hold.
-    pub(crate) fn known(&self, blocks: &[u64]) -> usize {
-        blocks.partition_point(|block| self.holders.contains_key(block))
+    /// Number of leading blocks that any target caches.
+    pub(crate) fn prefix_len(&self, blocks: &[u64]) -> usize {
+        blocks.partition_point(|block| self.targets_by_block.contains_key(block))
     }
 
-    /// Leading blocks that this target is known to hold.
-    pub(crate) fn held_by(&self, target: TargetKey, blocks: &[u64]) -> usize {
+    /// Number of leading blocks that this target caches.
+    pub(crate) fn prefix_len_at(&self, target: TargetKey, blocks: &[u64]) -> usize {
         blocks.partition_point(|block| {
-            self.holders.get(block).is_some_and(|holders| holders.contains(&target))
+            self.targets_by_block.get(block).is_some_and(|targets| targets.contains(&target))
         })
     }
 
-    fn drop_holder(&mut self, target: TargetKey, block: u64) {
-        if let Some(holders) = self.holders.get_mut(&block) {
-            holders.retain(|&holder| holder != target);
-            if holders.is_empty() {
-                self.holders.remove(&block);
+    fn remove_from_block(&mut self, target: TargetKey, block: u64) {
+        if let Some(targets) = self.targets_by_block.get_mut(&block) {
+            targets.retain(|&other| other != target);
+            if targets.is_empty() {
+                self.targets_by_block.remove(&block);
             }
         }
     }
--- a/crates/policy/src/baseline/fifo.rs
+++ b/crates/policy/src/baseline/fifo.rs
@@ -7,17 +7,17 @@
 
 use crate::interface::{Decision, PolicyEvent, TargetKey, TargetProfile, Ticket};
 
-/// Waiting requests at most, as in a usual proxy's backlog.
+/// Maximum number of waiting requests of a class.
 const QUEUE_MAX: usize = 10_000;
 
-/// The one time to ask again that every refused caller gets.
+/// Retry time given to every refused caller.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Attempts of one request at most.
+/// Maximum number of attempts of one request.
 const ATTEMPTS_MAX: u32 = 2;
 
 state! {
-    /// One target of a first-in-first-out policy.
+    /// A target of a FIFO policy.
     pub(crate) struct FifoTarget {
         pub(crate) class: usize,
         pub(crate) slots: u32,
@@ -32,24 +32,24 @@
         deadline: TimeMs,
         attempts: u32,
         may_have_run: bool,
-        at: Option<TargetKey>,
+        target: Option<TargetKey>,
     }
 }
 
-/// Chooses among the targets of a class that have a slot for this node.
-pub(crate) trait Choice {
-    /// The next target, if any has a slot.
-    fn choose(
+/// Selects a target of a class that has a free slot for this node.
+pub(crate) trait SelectTarget {
+    /// Returns the next target, or `None` if none has a free slot.
+    fn select(
         &mut self,
         targets: &BTreeMap<TargetKey, FifoTarget>,
         class: usize,
     ) -> Option<TargetKey>;
 }
 
-/// One queue for each class in order of arrival, and a request waits until its deadline.
+/// One FIFO queue per class; a request waits until its deadline.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Fifo<C> {
-    choice: C,
+    selector: C,
     targets: BTreeMap<TargetKey, FifoTarget>,
     requests: Map<Ticket, FifoRequest>,
     classes: Vec<RequestClass>,
@@ -57,16 +57,16 @@
     deadlines: BTreeSet<(TimeMs, Ticket)>,
 }
 
-impl<C: Choice> Fifo<C> {
+impl<C: SelectTarget> Fifo<C> {
     pub(crate) fn handle(&mut self, now: TimeMs, event: PolicyEvent<'_>, out: &mut Vec<Decision>) {
         match event {
             PolicyEvent::Tick => self.expire(now, out),
-            PolicyEvent::Arrived { ticket, head } => self.arrive(now, ticket, head, out),
+            PolicyEvent::Arrived { ticket, head } => self.admit(now, ticket, head, out),
             PolicyEvent::Finished { ticket, .. } | PolicyEvent::CallerGone { ticket } => {
-                self.end(ticket);
+                self.complete(ticket);
             }
-            PolicyEvent::Broken { ticket, verdict } => self.broke(ticket, verdict, out),
-            PolicyEvent::TargetUp { target, profile } => self.up(target, profile),
+            PolicyEvent::Broken { ticket, verdict } => self.attempt_failed(ticket, verdict, out),
+            PolicyEvent::TargetUp { target, profile } => self.target_up(target, profile),
             PolicyEvent::TargetDown { target } => {
                 if let Some(state) = self.targets.get_mut(&target) {
                     state.up = false;
@@ -82,18 +82,18 @@
             | PolicyEvent::Sharers { .. }
             | PolicyEvent::Organisations { .. } => return,
         }
-        self.pump(out);
+        self.dispatch_queued(out);
     }
 
     pub(crate) fn next_wake(&self) -> Option<TimeMs> {
         self.deadlines.first().map(|&(at, _)| at)
     }
 
-    fn arrive(&mut self, now: TimeMs, ticket: Ticket, head: &RequestHead, out: &mut Vec<Decision>) {
+    fn admit(&mut self, now: TimeMs, ticket: Ticket, head: &RequestHead, out: &mut Vec<Decision>) {
         let class = self.class_of(&head.class);
-        let served = self.targets.values().any(|target| target.up && target.class == class);
-        if !served || self.queues[class].len() >= QUEUE_MAX {
-            let code = if served { RefusalCode::Overloaded } else { RefusalCode::NoReplica };
+        let is_served = self.targets.values().any(|target| target.up && target.class == class);
+        if !is_served || self.queues[class].len() >= QUEUE_MAX {
+            let code = if is_served { RefusalCode::Overloaded } else { RefusalCode::NoReplica };
             let refusal = Refusal::not_run(code).with_retry_after_ms(RETRY_AFTER_MS);
             out.push(Decision::Refuse { ticket, refusal });
             return;
@@ -107,14 +107,14 @@
                 deadline,
                 attempts: 0,
                 may_have_run: false,
-                at: None,
+                target: None,
             },
         );
         self.deadlines.insert((deadline, ticket));
         self.queues[class].push_back(ticket);
     }
 
-    fn up(&mut self, target: TargetKey, profile: TargetProfile) {
+    fn target_up(&mut self, target: TargetKey, profile: TargetProfile) {
         let running = self.targets.get(&target).map_or(0, |state| state.running);
         let class = self.class_of(&profile.serves);
         let state = FifoTarget { class, slots: profile.slots, up: true, running, reported: 0 };
@@ -128,7 +128,7 @@
             }
             self.deadlines.pop_first();
             let Some(request) = self.requests.get(&ticket) else { continue };
-            if request.at.is_none() {
+            if request.target.is_none() {
                 let refusal = if request.may_have_run {
                     Refusal::may_have_run(RefusalCode::AnswerLost)
                 } else {
@@ -140,15 +140,16 @@
         }
     }
 
-    fn broke(&mut self, ticket: Ticket, verdict: Verdict, out: &mut Vec<Decision>) {
+    fn attempt_failed(&mut self, ticket: Ticket, verdict: Verdict, out: &mut Vec<Decision>) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         request.may_have_run |= verdict != Verdict::NotRun;
-        if let Some(state) = request.at.take().and_then(|at| self.targets.get_mut(&at)) {
+        if let Some(state) = request.target.take().and_then(|target| self.targets.get_mut(&target))
+        {
             state.running = state.running.saturating_sub(1);
         }
-        let safe = request.idempotent || !request.may_have_run;
-        let waits = self.deadlines.contains(&(request.deadline, ticket));
-        if safe && waits && request.attempts < ATTEMPTS_MAX {
+        let safe_to_retry = request.idempotent || !request.may_have_run;
+        let before_deadline = self.deadlines.contains(&(request.deadline, ticket));
+        if safe_to_retry && before_deadline && request.attempts < ATTEMPTS_MAX {
             self.queues[request.class].push_front(ticket);
             return;
         }
@@ -157,30 +158,30 @@
         } else {
             Refusal::not_run(RefusalCode::Overloaded).with_retry_after_ms(RETRY_AFTER_MS)
         };
-        self.end(ticket);
+        self.complete(ticket);
         out.push(Decision::Refuse { ticket, refusal });
     }
 
-    fn end(&mut self, ticket: Ticket) {
+    fn complete(&mut self, ticket: Ticket) {
         let Some(request) = self.requests.remove(&ticket) else { return };
         self.deadlines.remove(&(request.deadline, ticket));
-        if let Some(state) = request.at.and_then(|at| self.targets.get_mut(&at)) {
+        if let Some(state) = request.target.and_then(|target| self.targets.get_mut(&target)) {
             state.running = state.running.saturating_sub(1);
         }
     }
 
-    fn pump(&mut self, out: &mut Vec<Decision>) {
+    fn dispatch_queued(&mut self, out: &mut Vec<Decision>) {
         for class in 0..self.classes.len() {
-            self.pump_class(class, out);
+            self.dispatch_class(class, out);
         }
     }
 
-    fn pump_class(&mut self, class: usize, out: &mut Vec<Decision>) {
+    fn dispatch_class(&mut self, class: usize, out: &mut Vec<Decision>) {
         while let Some(&ticket) = self.queues[class].front() {
-            // An entry that expired or whose caller left is skipped here.
+            // Expired and disconnected requests stay in the queue and are skipped here.
             if let Some(request) = self.requests.get_mut(&ticket) {
-                let Some(target) = self.choice.choose(&self.targets, class) else { return };
-                request.at = Some(target);
+                let Some(target) = self.selector.select(&self.targets, class) else { return };
+                request.target = Some(target);
                 request.attempts += 1;
                 if let Some(state) = self.targets.get_mut(&target) {
                     state.running += 1;
--- a/crates/policy/src/baseline/least_loaded.rs
+++ b/crates/policy/src/baseline/least_loaded.rs
@@ -2,19 +2,19 @@
 
 use celeryhaven_types::TimeMs;
 
-use crate::baseline::fifo::{Choice, Fifo, FifoTarget};
+use crate::baseline::fifo::{Fifo, FifoTarget, SelectTarget};
 use crate::interface::{Decision, PolicyEvent, RequestPolicy, TargetKey};
 
-/// First in, first out. Sends to the target whose last report shows the least load.
+/// FIFO policy that sends to the target with the least reported load.
 ///
-/// A baseline: it has no admission, no shares, and holds a request until its deadline.
+/// A baseline without admission control or fair shares.
 #[derive(Clone, Debug, Default)]
 pub struct LeastLoaded {
-    fifo: Fifo<ByReport>,
+    fifo: Fifo<LeastReportedLoad>,
 }
 
 impl LeastLoaded {
-    /// A policy that knows no targets yet.
+    /// Creates a policy without targets.
     pub fn new() -> Self {
         Self::default()
     }
@@ -30,12 +30,12 @@
     }
 }
 
-/// The order of reported load.
+/// Selects by reported load.
 #[derive(Clone, Debug, Default)]
-struct ByReport;
+struct LeastReportedLoad;
 
-impl Choice for ByReport {
-    fn choose(
+impl SelectTarget for LeastReportedLoad {
+    fn select(
         &mut self,
         targets: &BTreeMap<TargetKey, FifoTarget>,
         class: usize,
--- a/crates/policy/src/baseline/mod.rs
+++ b/crates/policy/src/baseline/mod.rs
@@ -1,4 +1,4 @@
-//! First-in-first-out policies that the one in use is measured against.
+//! First-in-first-out policies for comparison.
 
 mod fifo;
 mod least_loaded;
--- a/crates/policy/src/baseline/round_robin.rs
+++ b/crates/policy/src/baseline/round_robin.rs
@@ -3,19 +3,19 @@
 
 use celeryhaven_types::TimeMs;
 
-use crate::baseline::fifo::{Choice, Fifo, FifoTarget};
+use crate::baseline::fifo::{Fifo, FifoTarget, SelectTarget};
 use crate::interface::{Decision, PolicyEvent, RequestPolicy, TargetKey};
 
-/// First in, first out. Sends to the targets in turn.
+/// FIFO policy that sends to the targets in turn.
 ///
-/// A baseline: it has no admission, no shares, and holds a request until its deadline.
+/// A baseline without admission control or fair shares.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobin {
-    fifo: Fifo<Turns>,
+    fifo: Fifo<Rotation>,
 }
 
 impl RoundRobin {
-    /// A policy that knows no targets yet.
+    /// Creates a policy without targets.
     pub fn new() -> Self {
         Self::default()
     }
@@ -31,14 +31,14 @@
     }
 }
 
-/// The order of turns.
+/// Selects in order of keys, starting after the last selected target.
 #[derive(Clone, Debug, Default)]
-struct Turns {
+struct Rotation {
     last: Option<TargetKey>,
 }
 
-impl Choice for Turns {
-    fn choose(
+impl SelectTarget for Rotation {
+    fn select(
         &mut self,
         targets: &BTreeMap<TargetKey, FifoTarget>,
         class: usize,
--- a/crates/policy/src/estimate/mod.rs
+++ b/crates/policy/src/estimate/mod.rs
@@ -1,4 +1,4 @@
-//! What requests are expected to cost, learned from those that ended.
+//! Cost estimates, learned from completed requests.
 
 mod mean;
 mod output_tokens;
@@ -6,6 +6,6 @@
 mod service_times;
 
 pub(crate) use mean::Mean;
-pub(crate) use output_tokens::OutputTokens;
-pub(crate) use recent::Recent;
+pub(crate) use output_tokens::OutputTokenEstimates;
+pub(crate) use recent::RecentMean;
 pub(crate) use service_times::ServiceTimes;
--- a/crates/policy/src/estimate/output_tokens.rs
+++ b/crates/policy/src/estimate/output_tokens.rs
@@ -3,43 +3,45 @@
 
 use crate::estimate::Mean;
 
-/// Share of the allowed answer that is expected before any was seen.
-const PRIOR_SHARE: f64 = 0.5;
+/// Assumed fraction of the output limit, until the first answer.
+const INITIAL_LIMIT_FRACTION: f64 = 0.5;
 
-/// Expected length of answers by organisation and by the power of two of the caller's limit.
+/// Estimated output length by organisation and by size class of the caller's limit.
 ///
-/// Load: lookups and drafts of one organisation. Harm: one mean for both refuses lookups that
-/// would be in time and admits drafts that would not. The caller's own limit tells them apart
-/// without reading the prompt.
+/// The size class separates the short and the long requests of one organisation, whose common mean
+/// would refuse short requests that fit their deadline and admit long ones that do not.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OutputTokens {
-    by_flow: Map<(FlowKey, u32), Mean>,
+pub(crate) struct OutputTokenEstimates {
+    by_flow_and_size: Map<(FlowKey, u32), Mean>,
 }
 
-impl OutputTokens {
+impl OutputTokenEstimates {
     pub(crate) fn expected(&self, flow: FlowKey, output_tokens_max: u32) -> f64 {
         let limit = f64::from(output_tokens_max);
-        self.by_flow
-            .get(&(flow, size(output_tokens_max)))
-            .map_or(limit * PRIOR_SHARE, Mean::value)
+        self.by_flow_and_size
+            .get(&(flow, size_class(output_tokens_max)))
+            .map_or(limit * INITIAL_LIMIT_FRACTION, Mean::value)
             .min(limit)
     }
 
-    /// A length that most answers stay under.
+    /// An output length that most answers stay below.
     pub(crate) fn high(&self, flow: FlowKey, output_tokens_max: u32) -> f64 {
         let limit = f64::from(output_tokens_max);
-        self.by_flow.get(&(flow, size(output_tokens_max))).map_or(limit, Mean::high).min(limit)
+        self.by_flow_and_size
+            .get(&(flow, size_class(output_tokens_max)))
+            .map_or(limit, Mean::high)
+            .min(limit)
     }
 
     pub(crate) fn learn(&mut self, flow: FlowKey, output_tokens_max: u32, output_tokens: u32) {
-        let prior = f64::from(output_tokens_max) * PRIOR_SHARE;
-        self.by_flow
-            .entry((flow, size(output_tokens_max)))
-            .or_insert_with(|| Mean::new(prior))
+        let initial = f64::from(output_tokens_max) * INITIAL_LIMIT_FRACTION;
+        self.by_flow_and_size
+            .entry((flow, size_class(output_tokens_max)))
+            .or_insert_with(|| Mean::new(initial))
             .add(f64::from(output_tokens));
     }
 }
 
-fn size(output_tokens_max: u32) -> u32 {
+fn size_class(output_tokens_max: u32) -> u32 {
     output_tokens_max.max(1).ilog2()
 }
--- a/crates/policy/src/fair/admission.rs
+++ b/crates/policy/src/fair/admission.rs
@@ -6,92 +6,91 @@
 use crate::fair::{ClassKey, FairPolicy};
 use crate::interface::{Decision, Ticket};
 
-/// When to ask again for something that no target serves, and the spread of it.
+/// Least retry time if no target serves the class; as much again is added as random jitter.
 ///
-/// Load: every caller of a model whose last replica has gone. Harm: at one time for all they come
-/// back as a wall; sooner than a replica can form they come back in vain. Limit: members form and
-/// load within seconds at best.
+/// Callers of a model whose last replica is lost would otherwise retry in a synchronized burst, or
+/// before a new replica can have formed.
 const NO_REPLICA_RETRY_MS: u64 = 3_000;
 
-/// Part of a target's slots that is taken where its times are those of a sound one.
-const USUAL_FILL: f64 = 0.5;
+/// Assumed utilisation for the first token of a request that is not sent yet.
+const ASSUMED_UTILISATION: f64 = 0.5;
 
-/// Part of its objective that a request may wait for a target in any case, as a divisor.
-const WAIT_PART_MIN: u64 = 4;
+/// A request may wait for a target for at least this fraction of its objective, as a divisor.
+const MIN_WAIT_DIVISOR: u64 = 4;
 
 impl FairPolicy {
-    /// Admits a request that can be in time, and refuses any other on the spot.
+    /// Admits a request that can meet its deadline, and refuses any other at once.
     ///
-    /// Load: more work than can be done by its deadlines. Harm: a request that waits and then
-    /// fails has held its caller for nothing, and one that runs and is late has also cost others
-    /// a slot. Refused on arrival, the caller can still go elsewhere.
-    pub(crate) fn arrive(
+    /// Under overload, a request that waits and is refused later has delayed its caller, and one
+    /// that is answered late has used a slot in vain.
+    pub(crate) fn admit(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
         head: &RequestHead,
         out: &mut Vec<Decision>,
     ) {
-        self.retry_budget.arrived();
+        self.retry_budget.deposit();
         let class = self
             .find_class(&head.class)
-            .filter(|&key| !self.classes[key.get() as usize].members.is_empty());
+            .filter(|&key| !self.classes[key.get() as usize].targets.is_empty());
         let Some(class) = class else {
-            let refusal = self.no_replica();
+            let refusal = self.no_replica_refusal();
             out.push(Decision::Refuse { ticket, refusal });
             return;
         };
         let request = self.new_request(now, class, head);
         self.requests.insert(ticket, request);
         self.enqueue(now, ticket, out);
-        self.pump(now, class, out);
+        self.dispatch_queued(now, class, out);
     }
 
-    /// Puts a request into its queue, or gives it its final answer.
+    /// Queues a request, or refuses it.
     pub(crate) fn enqueue(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<Decision>) {
         let Some(request) = self.requests.get(&ticket) else { return };
-        let waiting = self.waiting(request);
+        let queue_entry = self.queue_entry(request);
         let class_key = request.class;
-        let sharers = self.sharers;
+        let senders = self.senders;
         let class = self.class(class_key);
-        let wait_ms = class.wait_ms(now, &waiting, sharers);
-        if !in_time(now, wait_ms, waiting.latest_start) {
-            self.refuse_waiting(now, ticket, &waiting, RefusalCode::DeadlineUnreachable, out);
-        } else if class.queue.push(ticket, waiting).is_err() {
-            self.refuse_waiting(now, ticket, &waiting, RefusalCode::Overloaded, out);
+        let wait_ms = class.wait_ms(now, &queue_entry, senders);
+        if !starts_in_time(now, wait_ms, queue_entry.latest_start) {
+            self.refuse_queued(now, ticket, &queue_entry, RefusalCode::DeadlineUnreachable, out);
+        } else if class.queue.push(ticket, queue_entry).is_err() {
+            self.refuse_queued(now, ticket, &queue_entry, RefusalCode::Overloaded, out);
         } else {
-            self.shed_later(now, class_key);
+            self.schedule_shed(now, class_key);
         }
     }
 
-    /// Refuses a request that is not at a target, and says when to ask again.
-    pub(crate) fn refuse_waiting(
+    /// Refuses a request that is not at a target, with a retry time.
+    pub(crate) fn refuse_queued(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
-        waiting: &Waiting,
+        queue_entry: &Waiting,
         code: RefusalCode,
         out: &mut Vec<Decision>,
     ) {
         let Some(request) = self.requests.get(&ticket) else { return };
         let (class_key, may_have_run) = (request.class, request.may_have_run);
-        let sharers = self.sharers;
+        let senders = self.senders;
         let class = &mut self.classes[class_key.get() as usize];
         let refusal = if may_have_run {
             Refusal::may_have_run(RefusalCode::AnswerLost)
-        } else if class.members.is_empty() {
-            self.no_replica()
+        } else if class.targets.is_empty() {
+            self.no_replica_refusal()
         } else {
-            let drain_ms = class.drain_ms(now, waiting, sharers);
-            let cost_ms = waiting.cost_ms as f64 / class.capacity(sharers).max(1.0);
-            let retry_ms = class.return_times.book(now, drain_ms, cost_ms, &mut self.rng);
+            let drain_ms = class.drain_ms(now, queue_entry, senders);
+            let cost_ms = queue_entry.cost_ms as f64 / class.capacity(senders).max(1.0);
+            let retry_ms =
+                class.retry_schedule.next_retry_after_ms(now, drain_ms, cost_ms, &mut self.rng);
             Refusal::not_run(code).with_retry_after_ms(retry_ms)
         };
         self.refuse(ticket, refusal, out);
     }
 
-    /// What the queue is told of a request.
-    pub(crate) fn waiting(&self, request: &RequestState) -> Waiting {
+    /// Returns the queue entry of a request.
+    pub(crate) fn queue_entry(&self, request: &RequestState) -> Waiting {
         let Cost { mean_ms, high_ms } = request.cost;
         let needed_ms = mean_ms + (high_ms - mean_ms) * self.settings.cost_margin;
         let latest_start = TimeMs::new(request.deadline.get().saturating_sub(needed_ms as u64));
@@ -104,22 +103,25 @@
         }
     }
 
-    /// Expected time in a slot: prompt tokens beyond what is held, as often as that was found, the answer as this
-    /// organisation's answers were, and the adapter's load if no target holds it.
-    pub(crate) fn cost(&self, request: &RequestState) -> Cost {
+    /// Estimates the slot time of a request.
+    ///
+    /// The estimate covers the prompt tokens that are not expected to be cached, the output length,
+    /// and loading the adapter if no target has it.
+    pub(crate) fn estimate_cost(&self, request: &RequestState) -> Cost {
         let class = &self.classes[request.class.get() as usize];
-        let known = class.prefixes.known(&request.blocks) as f64;
-        let cached = known / request.blocks.len().max(1) as f64;
-        let expected_held = cached * class.prefix_hits.value().clamp(0.0, 1.0);
-        let uncached = f64::from(request.prompt_tokens) * (1.0 - expected_held);
-        let fill = class.fill(self.sharers);
-        let output = class.outputs.expected(request.flow, request.output_tokens_max);
-        let output_high = class.outputs.high(request.flow, request.output_tokens_max);
-        let loaded = request.adapter.is_none_or(|key| class.adapter_holders.contains_key(&key));
-        let load_ms = if loaded { 0.0 } else { class.adapter_load_ms.value() };
+        let prefix_len = class.prefixes.prefix_len(&request.blocks) as f64;
+        let cached = prefix_len / request.blocks.len().max(1) as f64;
+        let expected_cached = cached * class.prefix_hits.value().clamp(0.0, 1.0);
+        let uncached = f64::from(request.prompt_tokens) * (1.0 - expected_cached);
+        let utilisation = class.utilisation(self.senders);
+        let output = class.output_lengths.expected(request.flow, request.output_tokens_max);
+        let output_high = class.output_lengths.high(request.flow, request.output_tokens_max);
+        let adapter_loaded =
+            request.adapter.is_none_or(|key| class.adapter_targets.contains_key(&key));
+        let load_ms = if adapter_loaded { 0.0 } else { class.adapter_load_ms.value() };
         Cost {
-            mean_ms: load_ms + class.times.service_ms(fill, uncached, output),
-            high_ms: load_ms + class.times.high_ms(fill, uncached, output_high),
+            mean_ms: load_ms + class.times.service_ms(utilisation, uncached, output),
+            high_ms: load_ms + class.times.high_ms(utilisation, uncached, output_high),
         }
     }
 
@@ -147,31 +149,32 @@
             may_have_run: false,
             avoid: None,
             phase: Phase::Queued,
-            wake_at: None,
+            check_at: None,
         };
-        request.cost = self.cost(&request);
+        request.cost = self.estimate_cost(&request);
         request
     }
 
-    /// Time within which a request is to be sent for its answer to begin in time.
+    /// Time within which a request must be sent so that its answer begins within the objective.
     ///
-    /// Load: more work than the targets can do. Harm: the request that has waited longest is sent next,
-    /// and begins too late by as long as a first token takes; nobody is served in time.
+    /// Without it, an overloaded queue sends the longest waiting request next, which then begins
+    /// too late, and no request meets its objective.
     fn send_within_ms(&self, class: ClassKey, head: &RequestHead) -> Option<u64> {
         let within_ms = head.start_within_ms?;
         let times = &self.classes[class.get() as usize].times;
-        let first_ms = times.first_token_ms(USUAL_FILL, f64::from(head.prompt_tokens));
-        Some(within_ms.saturating_sub(first_ms as u64).max(within_ms / WAIT_PART_MIN))
+        let first_token_ms =
+            times.first_token_ms(ASSUMED_UTILISATION, f64::from(head.prompt_tokens));
+        Some(within_ms.saturating_sub(first_token_ms as u64).max(within_ms / MIN_WAIT_DIVISOR))
     }
 
-    fn no_replica(&mut self) -> Refusal {
-        let spread_ms = self.rng.random_range(0..=NO_REPLICA_RETRY_MS);
+    fn no_replica_refusal(&mut self) -> Refusal {
+        let jitter_ms = self.rng.random_range(0..=NO_REPLICA_RETRY_MS);
         Refusal::not_run(RefusalCode::NoReplica)
-            .with_retry_after_ms(NO_REPLICA_RETRY_MS + spread_ms)
+            .with_retry_after_ms(NO_REPLICA_RETRY_MS + jitter_ms)
     }
 }
 
 /// Whether a request that waits this long still starts in time.
-pub(crate) fn in_time(now: TimeMs, wait_ms: f64, latest_start: TimeMs) -> bool {
+pub(crate) fn starts_in_time(now: TimeMs, wait_ms: f64, latest_start: TimeMs) -> bool {
     now.get() as f64 + wait_ms <= latest_start.get() as f64
 }
--- a/crates/policy/src/fair/class.rs
+++ b/crates/policy/src/fair/class.rs
@@ -4,75 +4,67 @@
 use celeryhaven_types::{Map, TimeMs};
 
 use crate::affinity::PrefixIndex;
-use crate::estimate::{Mean, OutputTokens, Recent, ServiceTimes};
+use crate::estimate::{Mean, OutputTokenEstimates, RecentMean, ServiceTimes};
 use crate::fair::{AdapterKey, FairSettings};
 use crate::interface::{TargetKey, Ticket};
-use crate::retry::ReturnTimes;
-use crate::targets::{Available, InFlight, Usual};
+use crate::retry::RetrySchedule;
+use crate::targets::{ClassAverage, InFlight, TargetSet};
 
-/// Targets that serve one model or one plain service, and what waits for them.
+/// The targets that serve one model or one plain service, and the requests queued for them.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassState {
     pub(crate) queue: FairQueue<Ticket>,
     /// Targets that are up.
-    pub(crate) members: BTreeSet<TargetKey>,
-    pub(crate) available: Available,
-    /// Targets that are up and take more than probes, full or not.
-    pub(crate) sound: Available,
+    pub(crate) targets: BTreeSet<TargetKey>,
+    pub(crate) available: TargetSet,
+    /// Targets that are up and healthy, whether or not they have a free slot.
+    pub(crate) healthy: TargetSet,
     pub(crate) prefixes: PrefixIndex,
-    pub(crate) adapter_holders: Map<AdapterKey, Vec<TargetKey>>,
+    pub(crate) adapter_targets: Map<AdapterKey, Vec<TargetKey>>,
     pub(crate) times: ServiceTimes,
     pub(crate) adapter_load_ms: Mean,
-    /// Part of the prompts known to be held somewhere that was held where they ran.
+    /// Fraction of the indexed prefix of a prompt that was cached at the target it was sent to.
     pub(crate) prefix_hits: Mean,
-    /// Time in a slot of late, and what was expected of it when it was queued.
-    pub(crate) took_ms: Mean,
+    /// Actual slot time of completed requests, and the estimates made when they were queued.
+    pub(crate) actual_ms: Mean,
     pub(crate) expected_ms: Mean,
-    /// Part of its slots that a member reports to be taken.
-    pub(crate) reported_fill: Recent,
+    /// Fraction of its slots in use that a target reports.
+    pub(crate) reported_utilisation: RecentMean,
     wait_feedback: bool,
-    pub(crate) outputs: OutputTokens,
-    pub(crate) return_times: ReturnTimes,
-    /// Sum of the members' slots.
+    pub(crate) output_lengths: OutputTokenEstimates,
+    pub(crate) retry_schedule: RetrySchedule,
+    /// Total slots of the targets.
     pub(crate) slots: u32,
-    /// Requests of this node at members.
+    /// Requests of this node at the targets.
     pub(crate) in_flight: InFlight,
-    /// When requests of this node at targets are expected to end, in milliseconds.
-    pub(crate) ends: BTreeSet<(u64, Ticket)>,
-    /// Sum of the members' ratios of taken to expected time.
+    /// Expected completion times of the requests at the targets, in milliseconds.
+    pub(crate) expected_ends: BTreeSet<(u64, Ticket)>,
+    /// Sum of the latency ratios of the targets.
     pub(crate) ratio_sum: f64,
-    /// Members that take nothing or only probes.
+    /// Number of targets that are ejected or being probed.
     pub(crate) ejected: usize,
-    /// Whether a pass over the queue is due.
-    pub(crate) shed_due: bool,
-    /// Whether this node's requests at all members together are bounded.
+    /// Whether a `Timer::Shed` is pending.
+    pub(crate) shed_scheduled: bool,
+    /// Whether the requests of this node at all targets together are limited.
     pooled: bool,
 }
 
-/// Times its even part that a node may have of pooled slots, while targets have room on the mean.
-///
-/// Load: callers spread unevenly over nodes. Harm: held near its part, a node makes callers wait or
-/// refuses them while others have room. Limit: twice; a target takes no more than shows room in its
-/// last report in any case.
-const POOLED_PART: f64 = 2.0;
-
-/// Mean part of their slots that targets report to be taken, from which a node keeps to its even part.
-///
-/// Load: more work than a model's replicas can do. Harm: let in at twice its part by every node, it
-/// waits at the replicas instead, where each request delays all others: everyone is let in and
-/// everyone is late, for as long as the load lasts and longer. Limit: full; below it a slot is free
-/// on the mean.
-const FULL: f64 = 1.0;
+/// Limit of pooled slots of a node, relative to its even share, while the targets have capacity.
+const POOLED_SHARE_FACTOR: f64 = 2.0;
+
+/// Mean reported utilisation from which a node is limited to its even share. Without this limit the
+/// excess would wait at the targets, where it delays all requests.
+const FULL_UTILISATION: f64 = 1.0;
 
 impl ClassState {
     pub(crate) fn new(settings: &FairSettings) -> Self {
         Self {
             queue: FairQueue::new(settings.queue_entries_max),
-            members: BTreeSet::new(),
-            available: Available::default(),
-            sound: Available::default(),
+            targets: BTreeSet::new(),
+            available: TargetSet::default(),
+            healthy: TargetSet::default(),
             prefixes: PrefixIndex::default(),
-            adapter_holders: Map::default(),
+            adapter_targets: Map::default(),
             times: ServiceTimes::new(
                 settings.base_ms,
                 settings.prefill_ms_per_token,
@@ -80,122 +72,122 @@
             ),
             adapter_load_ms: Mean::new(settings.adapter_load_ms),
             prefix_hits: Mean::new(1.0),
-            took_ms: Mean::new(1_000.0),
+            actual_ms: Mean::new(1_000.0),
             expected_ms: Mean::new(1_000.0),
-            reported_fill: Recent::new(0.0),
+            reported_utilisation: RecentMean::new(0.0),
             wait_feedback: settings.wait_feedback,
-            outputs: OutputTokens::default(),
-            return_times: ReturnTimes::new(),
+            output_lengths: OutputTokenEstimates::default(),
+            retry_schedule: RetrySchedule::new(),
             slots: 0,
             in_flight: InFlight::default(),
-            ends: BTreeSet::new(),
+            expected_ends: BTreeSet::new(),
             ratio_sum: 0.0,
             ejected: 0,
-            shed_due: false,
+            shed_scheduled: false,
             pooled: false,
         }
     }
 
-    /// What is usual among the members, for those heard of long ago; `None` where each is heard of
-    /// often.
-    pub(crate) fn usual(&self) -> Option<Usual> {
-        let usual = Usual { fill: self.reported_fill.value(), request_ms: self.took_ms.value() };
-        self.pooled.then_some(usual)
+    /// Average load of the targets, for those not contacted recently; `None` if slots are not
+    /// pooled.
+    pub(crate) fn average(&self) -> Option<ClassAverage> {
+        let average = ClassAverage {
+            utilisation: self.reported_utilisation.value(),
+            request_ms: self.actual_ms.value(),
+        };
+        self.pooled.then_some(average)
     }
 
-    /// Bounds this node's requests at all members together, or not.
+    /// Sets whether the requests of this node at all targets together are limited.
     pub(crate) fn set_pooled(&mut self, pooled: bool) {
         self.pooled = pooled;
     }
 
-    /// Whether a member may take a request of this node now.
-    pub(crate) fn has_room(&self, sharers: u32) -> bool {
+    /// Whether a target may receive a request of this node now.
+    pub(crate) fn has_free_slot(&self, senders: u32) -> bool {
         if !self.pooled {
             return !self.available.is_empty();
         }
-        let part = f64::from(self.slots) / f64::from(sharers.max(1));
-        let is_full = self.reported_fill.value() >= FULL;
-        let most = if is_full { part } else { part * POOLED_PART };
-        let within = self.in_flight.count < most.ceil() as u32;
-        within && (!self.available.is_empty() || self.may_ask())
+        let share = f64::from(self.slots) / f64::from(senders.max(1));
+        let is_full = self.reported_utilisation.value() >= FULL_UTILISATION;
+        let limit = if is_full { share } else { share * POOLED_SHARE_FACTOR };
+        let below_limit = self.in_flight.count < limit.ceil() as u32;
+        below_limit && (!self.available.is_empty() || self.can_probe_load())
     }
 
-    /// Whether a request may go to a member although none shows room.
+    /// Whether one request may be sent although no target shows a free slot.
     ///
-    /// Guards against a node that refuses for ever: loads are told with answers, so one that sends
-    /// nothing hears nothing, and all members stay as full as they were when it heard last. One
-    /// request at a time tells.
-    fn may_ask(&self) -> bool {
-        self.in_flight.count == 0 && !self.sound.is_empty()
+    /// Load reports come with answers, so a node without requests in flight would regard the
+    /// targets as full until the process ends.
+    fn can_probe_load(&self) -> bool {
+        self.in_flight.count == 0 && !self.healthy.is_empty()
     }
 
-    /// Slots that drain this node's queue: its even part, or what it has borrowed if more.
-    pub(crate) fn capacity(&self, sharers: u32) -> f64 {
-        let healthy = self.members.len().saturating_sub(self.ejected) as f64;
-        let part = healthy / self.members.len().max(1) as f64;
-        let even = f64::from(self.slots) * part / f64::from(sharers.max(1));
-        even.max(f64::from(self.in_flight.count))
+    /// Slots that serve the queue of this node: its even share, or the slots in use if more.
+    pub(crate) fn capacity(&self, senders: u32) -> f64 {
+        let healthy_count = self.targets.len().saturating_sub(self.ejected) as f64;
+        let healthy_fraction = healthy_count / self.targets.len().max(1) as f64;
+        let even_share = f64::from(self.slots) * healthy_fraction / f64::from(senders.max(1));
+        even_share.max(f64::from(self.in_flight.count))
     }
 
-    /// How full targets are for a request that arrives now.
-    pub(crate) fn fill(&self, sharers: u32) -> f64 {
-        if !self.queue.is_empty() || !self.has_room(sharers) {
+    /// Expected utilisation of the targets for a request that arrives now.
+    pub(crate) fn utilisation(&self, senders: u32) -> f64 {
+        if !self.queue.is_empty() || !self.has_free_slot(senders) {
             return 1.0;
         }
-        f64::from(self.in_flight.count) / self.capacity(sharers).max(1.0)
+        f64::from(self.in_flight.count) / self.capacity(senders).max(1.0)
     }
 
-    /// Expected wait of such an entry, in milliseconds, if it joined the queue now.
+    /// Estimates the wait of a new queue entry, in milliseconds.
     ///
-    /// It waits for what its own organisation has ahead, served at the part that it gets.
-    pub(crate) fn wait_ms(&mut self, now: TimeMs, waiting: &Waiting, sharers: u32) -> f64 {
-        let capacity = self.capacity(sharers);
+    /// It waits for the entries ahead of it in its own flow, served at the expected share of the
+    /// flow.
+    pub(crate) fn wait_ms(&mut self, now: TimeMs, entry: &Waiting, senders: u32) -> f64 {
+        let capacity = self.capacity(senders);
         if capacity <= 0.0 {
             return f64::INFINITY;
         }
-        if self.queue.is_empty() && self.has_room(sharers) {
+        if self.queue.is_empty() && self.has_free_slot(senders) {
             return 0.0;
         }
-        let ahead_ms = self.queue.cost_ahead_ms(waiting) as f64;
-        let queued_ms = ahead_ms / self.expected_share(waiting, ahead_ms, capacity);
-        self.start_after_ms(now, queued_ms * self.cost_ratio() / capacity)
+        let ahead_ms = self.queue.cost_ahead_ms(entry) as f64;
+        let queued_ms = ahead_ms / self.expected_share(entry, ahead_ms, capacity);
+        self.next_slot_ms(now, queued_ms * self.cost_ratio() / capacity)
     }
 
-    /// Part of the slots that this entry's organisation will get.
+    /// Estimates the share of the slots that the flow of this entry receives.
     ///
-    /// Load: one organisation's queue is long while others come and go with short ones. Harm: by
-    /// weight alone it is promised too little while they are away and too much when they come
-    /// back, and then many of its callers hear late. Its part since it began to wait is therefore
-    /// weighed against that promise, which counts as one filling of all slots.
-    fn expected_share(&self, waiting: &Waiting, ahead_ms: f64, capacity: f64) -> f64 {
+    /// Weights alone are inaccurate while other flows come and go. The share observed since the
+    /// flow became active is therefore averaged with the nominal share, which counts as one turn of
+    /// all slots.
+    fn expected_share(&self, entry: &Waiting, ahead_ms: f64, capacity: f64) -> f64 {
         let all_queued_ms = self.queue.cost_ms().max(1) as f64;
-        let promised = self.queue.share(waiting.flow).max(ahead_ms / all_queued_ms);
-        let (own_ms, all_ms) = self.queue.taken_ms(waiting.flow);
-        let promise_ms = capacity * self.in_flight.mean_cost_ms().max(1.0);
-        (own_ms as f64 + promised * promise_ms) / (all_ms as f64 + promise_ms)
+        let nominal_share = self.queue.share(entry.flow).max(ahead_ms / all_queued_ms);
+        let (own_ms, all_ms) = self.queue.taken_ms(entry.flow);
+        let prior_ms = capacity * self.in_flight.mean_cost_ms().max(1.0);
+        (own_ms as f64 + nominal_share * prior_ms) / (all_ms as f64 + prior_ms)
     }
 
-    /// How much longer requests take than was expected when they were queued; at least one.
+    /// Ratio of actual to estimated slot time; at least one.
     ///
-    /// Load: a wall fills the targets while its requests wait. Harm: costs are those of the moment of
-    /// queueing, and a queue that drains slower than that gives its callers up one by one, late.
+    /// Estimates are made when a request is queued and are too low when the targets fill up
+    /// afterwards.
     fn cost_ratio(&self) -> f64 {
         if !self.wait_feedback {
             return 1.0;
         }
-        (self.took_ms.value() / self.expected_ms.value().max(1.0)).max(1.0)
+        (self.actual_ms.value() / self.expected_ms.value().max(1.0)).max(1.0)
     }
 
-    /// Time until a slot is free for what has this much work of the queue ahead of it.
+    /// Estimates the time until a slot is free after the given amount of queued work.
     ///
-    /// Load: full slots, either long in use or all taken at once by a wall. Slots in use for long
-    /// end one after another and drain as a fluid does; those taken together end together, in
-    /// steps. Harm of counting only as a fluid: what runs would make a lookup wait for half a
-    /// draft on paper, though some slot is free within milliseconds, and it would be refused for
-    /// nothing. Harm of counting only in steps: the reverse in steady load. How far the earliest
-    /// end is from the mean one tells how much is of each.
-    fn start_after_ms(&self, now: TimeMs, fluid_ms: f64) -> f64 {
-        let first_ms = self.ends.first().map_or(0, |&(end_ms, _)| end_ms.saturating_sub(now.get()));
+    /// Slots taken at different times become free continuously, those taken in a burst all at once.
+    /// The result interpolates between both, by the distance between the earliest and the mean
+    /// remaining time.
+    fn next_slot_ms(&self, now: TimeMs, fluid_ms: f64) -> f64 {
+        let first_ms =
+            self.expected_ends.first().map_or(0, |&(end_ms, _)| end_ms.saturating_sub(now.get()));
         let first_ms = first_ms as f64;
         let step_ms = self.in_flight.mean_cost_ms().max(1.0);
         let mean_ms = self.in_flight.remaining_ms(now) / f64::from(self.in_flight.count.max(1));
@@ -204,16 +196,16 @@
         first_ms + staggered * fluid_ms + (1.0 - staggered) * stepped_ms
     }
 
-    /// Time until all that is queued of this entry's organisation has left the queue.
-    pub(crate) fn drain_ms(&self, now: TimeMs, waiting: &Waiting, sharers: u32) -> f64 {
-        let own_ms = self.queue.flow_cost_ms(waiting.flow) as f64 / self.queue.share(waiting.flow);
+    /// Estimates the time until the queue of this entry's flow is drained.
+    pub(crate) fn drain_ms(&self, now: TimeMs, entry: &Waiting, senders: u32) -> f64 {
+        let own_ms = self.queue.flow_cost_ms(entry.flow) as f64 / self.queue.share(entry.flow);
         (self.in_flight.remaining_ms(now) + own_ms.min(self.queue.cost_ms() as f64))
-            / self.capacity(sharers).max(1.0)
+            / self.capacity(senders).max(1.0)
     }
 
-    /// Mean ratio of the members but for one.
+    /// Mean latency ratio of the other targets.
     pub(crate) fn peers_ratio(&self, own_ratio: f64) -> f64 {
-        match self.members.len() {
+        match self.targets.len() {
             0 | 1 => own_ratio,
             count => (self.ratio_sum - own_ratio) / (count - 1) as f64,
         }
--- a/crates/policy/src/fair/dispatch.rs
+++ b/crates/policy/src/fair/dispatch.rs
@@ -4,60 +4,64 @@
 use crate::fair::request::{Phase, Pick, RequestState};
 use crate::fair::{ClassKey, FairPolicy};
 use crate::interface::{Decision, TargetKey, Ticket};
-use crate::targets::{Expected, Standing};
+use crate::targets::{AttemptEstimate, HealthState};
 
-/// Uncached prompt tokens from which another request is looked for.
-///
-/// Load: full slots and middling prompts. Harm: passing requests over for a prefix worth a step or
-/// two of prefill makes the order worse for little. Limit: eight chunks of prefill.
-const UNCACHED_MIN: f64 = 2_048.0;
+/// Least uncached prompt tokens of the first request for which another is preferred; for fewer, the
+/// change of order is not worth it.
+const REORDER_UNCACHED_TOKENS_MIN: f64 = 2_048.0;
 
-/// Time to spare that a request must have to be passed over, in milliseconds.
-const SPARE_MS: u64 = 1_000;
+/// Least slack of the first request for which another is preferred, in milliseconds.
+const REORDER_SLACK_MIN_MS: u64 = 1_000;
 
 impl FairPolicy {
-    /// Sends what waits while a target may take it.
-    pub(crate) fn pump(&mut self, now: TimeMs, class_key: ClassKey, out: &mut Vec<Decision>) {
-        let (look_ahead, sharers) = (self.settings.look_ahead, self.sharers);
-        self.refresh_full(now, class_key);
-        while self.class(class_key).has_room(sharers) {
-            let few = self.class(class_key).queue.next_few(look_ahead);
-            let Some(&(first, waiting)) = few.first() else { return };
-            if waiting.latest_start < now {
+    /// Sends queued requests while a target may receive them.
+    pub(crate) fn dispatch_queued(
+        &mut self,
+        now: TimeMs,
+        class_key: ClassKey,
+        out: &mut Vec<Decision>,
+    ) {
+        let (look_ahead, senders) = (self.settings.look_ahead, self.senders);
+        self.refresh_unavailable(now, class_key);
+        while self.class(class_key).has_free_slot(senders) {
+            let next = self.class(class_key).queue.next_few(look_ahead);
+            let Some(&(first, entry)) = next.first() else { return };
+            if entry.latest_start < now {
                 self.class(class_key).queue.remove(first);
                 let code = RefusalCode::DeadlineUnreachable;
-                self.refuse_waiting(now, first, &waiting, code, out);
+                self.refuse_queued(now, first, &entry, code, out);
                 continue;
             }
-            let Some((ticket, pick)) = self.pair(now, &few) else { return };
+            let Some((ticket, pick)) = self.select_next(now, &next) else { return };
             self.class(class_key).queue.take(ticket);
             self.dispatch(now, ticket, pick, out);
         }
     }
 
-    /// Pairs one of the next few requests of a flow with a target.
+    /// Selects one of the next requests of a flow, and a target for it.
     ///
-    /// Load: full slots, and prompts that are mostly prefix. Harm: one target at a time becomes
-    /// free, so the request that is next goes there whether its prefix is held or not, and what
-    /// was cached for others is pushed out. Another of the next few that has most of its prompt
-    /// there goes first instead. Limit: eight of the same organisation, and only while the one
-    /// that is passed over has time to spare; it stays the first.
-    fn pair(&mut self, now: TimeMs, few: &[(Ticket, Waiting)]) -> Option<(Ticket, Pick)> {
-        let &(first, waiting) = few.first()?;
+    /// When all slots are in use, targets become free one at a time, and in strict order each would
+    /// receive a request whose prefix it does not cache. A later request that has most of its
+    /// prompt cached there is preferred while the first one has slack; the first one keeps its
+    /// position.
+    fn select_next(&mut self, now: TimeMs, next: &[(Ticket, Waiting)]) -> Option<(Ticket, Pick)> {
+        let &(first, entry) = next.first()?;
         let request = self.requests.remove(&first)?;
         let pick = self.pick(now, &request);
         let prompt_tokens = f64::from(request.prompt_tokens);
         self.requests.insert(first, request);
         let pick = pick?;
-        let spare_ms = waiting.latest_start.since(now);
-        if pick.uncached_tokens < UNCACHED_MIN.max(prompt_tokens / 2.0) || spare_ms < SPARE_MS {
+        let slack_ms = entry.latest_start.since(now);
+        if pick.uncached_tokens < REORDER_UNCACHED_TOKENS_MIN.max(prompt_tokens / 2.0)
+            || slack_ms < REORDER_SLACK_MIN_MS
+        {
             return Some((first, pick));
         }
-        let other = few[1..].iter().find_map(|&(ticket, _)| {
+        let other = next[1..].iter().find_map(|&(ticket, _)| {
             let request = self.requests.get(&ticket)?;
             let (_, other) = self.score_ms(now, request, pick.target)?;
-            let most_held = other.uncached_tokens * 2.0 < f64::from(request.prompt_tokens);
-            (most_held && request.avoid != Some(pick.target)).then_some((ticket, other))
+            let mostly_cached = other.uncached_tokens * 2.0 < f64::from(request.prompt_tokens);
+            (mostly_cached && request.avoid != Some(pick.target)).then_some((ticket, other))
         });
         other.or(Some((first, pick)))
     }
@@ -67,7 +71,7 @@
         let Pick { target, uncached_tokens, loads_adapter } = pick;
         self.learn_prefix_hit(&request, uncached_tokens);
         let cost_ms = request.cost.mean_ms as u64;
-        let expected = Expected { sent_ms: now.get(), cost_ms };
+        let estimate = AttemptEstimate { sent_ms: now.get(), cost_ms };
         request.attempts += 1;
         request.phase = Phase::Running {
             target,
@@ -75,35 +79,34 @@
             started_at: None,
             uncached_tokens,
             loads_adapter,
-            expected,
+            estimate,
             cancelled: None,
         };
-        self.expect_held(now, target, &request);
-        self.count_sent(now, ticket, target, expected);
-        let start_by = self.start_by(now, &request);
-        self.wake_request(ticket, &mut request, start_by);
+        self.expect_cached(now, target, &request);
+        self.record_sent(now, ticket, target, estimate);
+        let stuck_at = self.stuck_at(now, &request);
+        self.schedule_check(ticket, &mut request, stuck_at);
         out.push(Decision::Dispatch { ticket, target });
         self.requests.insert(ticket, request);
     }
 
-    /// Learns how often a prefix that is held somewhere is held where a request runs.
+    /// Updates the fraction of an indexed prefix that is cached where a request runs.
     ///
-    /// Load: full slots. Harm: a cost that supposes every known prefix to be found admits more than
-    /// can be done, and what is admitted runs past its deadline.
+    /// Under full load, costs that assume every indexed prefix to be cached admit too much.
     fn learn_prefix_hit(&mut self, request: &RequestState, uncached_tokens: f64) {
         let class = &mut self.classes[request.class.get() as usize];
-        let known = class.prefixes.known(&request.blocks) as f64;
-        if self.settings.learn_prefix_hits && known > 0.0 {
-            let held = 1.0 - uncached_tokens / f64::from(request.prompt_tokens.max(1));
-            class.prefix_hits.add(held * request.blocks.len() as f64 / known);
+        let prefix_len = class.prefixes.prefix_len(&request.blocks) as f64;
+        if self.settings.learn_prefix_hits && prefix_len > 0.0 {
+            let cached = 1.0 - uncached_tokens / f64::from(request.prompt_tokens.max(1));
+            class.prefix_hits.add(cached * request.blocks.len() as f64 / prefix_len);
         }
     }
 
-    /// Counts on the target to hold what it is about to compute, before any event says so.
+    /// Records that the target will cache the prefix and load the adapter of a request.
     ///
-    /// Load: a wall of requests with one prefix. Harm: cache events come seconds later, and until
-    /// then the same prefix would be computed on every target.
-    fn expect_held(&mut self, now: TimeMs, target: TargetKey, request: &RequestState) {
+    /// Cache events arrive seconds later, and a burst of requests with one prefix would until then
+    /// be spread over all targets.
+    fn expect_cached(&mut self, now: TimeMs, target: TargetKey, request: &RequestState) {
         let class = &mut self.classes[request.class.get() as usize];
         for &block in &request.blocks {
             class.prefixes.add(target, block);
@@ -112,57 +115,63 @@
             && let Some(state) = self.targets.get_mut(&target)
             && state.expect_adapter(now, adapter)
         {
-            class.adapter_holders.entry(adapter).or_default().push(target);
+            class.adapter_targets.entry(adapter).or_default().push(target);
         }
     }
 
-    fn count_sent(&mut self, now: TimeMs, ticket: Ticket, target: TargetKey, expected: Expected) {
+    fn record_sent(
+        &mut self,
+        now: TimeMs,
+        ticket: Ticket,
+        target: TargetKey,
+        estimate: AttemptEstimate,
+    ) {
         let Some(state) = self.targets.get_mut(&target) else { return };
-        state.sent(now, ticket, expected);
+        state.record_sent(now, ticket, estimate);
         let class = state.class;
-        self.class(class).in_flight.begin(expected);
-        self.class(class).ends.insert((expected.end_ms(), ticket));
-        self.refresh(now, target);
+        self.class(class).in_flight.add(estimate);
+        self.class(class).expected_ends.insert((estimate.end_ms(), ticket));
+        self.refresh_availability(now, target);
     }
 
-    /// Counts the end of an attempt at a target.
-    pub(crate) fn count_ended(
+    /// Records that an attempt at a target has completed.
+    pub(crate) fn record_completed(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
         target: TargetKey,
-        expected: Expected,
+        estimate: AttemptEstimate,
     ) {
         let Some(state) = self.targets.get_mut(&target) else { return };
-        state.ended(now, ticket, expected);
+        state.record_completed(now, ticket, estimate);
         let class = state.class;
         let (up, empty) = (state.up, state.in_flight.count == 0);
-        self.class(class).ends.remove(&(expected.end_ms(), ticket));
+        self.class(class).expected_ends.remove(&(estimate.end_ms(), ticket));
         if up {
-            self.class(class).in_flight.end(expected);
-            self.refresh(now, target);
+            self.class(class).in_flight.remove(estimate);
+            self.refresh_availability(now, target);
         } else if empty {
             self.targets.remove(&target);
         }
     }
 
-    /// Looks anew at targets that took no more when they were looked at last, since reports fade.
-    fn refresh_full(&mut self, now: TimeMs, class_key: ClassKey) {
+    /// Checks unavailable targets again if old reports decay towards the average.
+    fn refresh_unavailable(&mut self, now: TimeMs, class_key: ClassKey) {
         let class = self.class(class_key);
-        if class.queue.is_empty() || class.usual().is_none() {
+        if class.queue.is_empty() || class.average().is_none() {
             return;
         }
-        let full = class.members.iter().filter(|&&target| !class.available.contains(target));
-        let full: Vec<TargetKey> = full.copied().collect();
-        full.into_iter().for_each(|target| self.refresh(now, target));
+        let unavailable = class.targets.iter().filter(|&&target| !class.available.contains(target));
+        let unavailable: Vec<TargetKey> = unavailable.copied().collect();
+        unavailable.into_iter().for_each(|target| self.refresh_availability(now, target));
     }
 
-    /// Brings the list of targets that may take requests up to date for one of them.
-    pub(crate) fn refresh(&mut self, now: TimeMs, target: TargetKey) {
+    /// Updates whether a target is available and healthy.
+    pub(crate) fn refresh_availability(&mut self, now: TimeMs, target: TargetKey) {
         let Some(state) = self.targets.get(&target) else { return };
         let class = &mut self.classes[state.class.get() as usize];
-        let available = state.may_take(now, self.settings.sharing, class.usual());
+        let available = state.can_accept(now, self.settings.sharing, class.average());
         class.available.set(target, available);
-        class.sound.set(target, state.up && state.health.standing == Standing::Healthy);
+        class.healthy.set(target, state.up && state.health.state == HealthState::Healthy);
     }
 }
--- a/crates/policy/src/fair/keys.rs
+++ b/crates/policy/src/fair/keys.rs
@@ -1,8 +1,8 @@
 use celeryhaven_derives::number;
 
 number! {
-    /// Identifies one class of targets inside a policy.
+    /// Identifies one class of targets within a policy.
     ClassKey(u32)
-    /// Identifies one adapter inside a policy.
+    /// Identifies one adapter within a policy.
     AdapterKey(u32)
 }
--- a/crates/policy/src/fair/mod.rs
+++ b/crates/policy/src/fair/mod.rs
@@ -1,4 +1,4 @@
-//! The policy in use: fair queue, admission by deadline, targets shared among entries.
+//! The production policy: fair queue, admission by deadline, targets shared among entry nodes.
 
 mod admission;
 mod candidates;
--- a/crates/policy/src/fair/policy.rs
+++ b/crates/policy/src/fair/policy.rs
@@ -16,21 +16,21 @@
 use crate::targets::TargetState;
 
 state! {
-    /// What time is waited for.
+    /// A pending timer.
     #[derive(Copy, Eq, PartialOrd, Ord)]
     pub(crate) enum Timer {
-        /// A running request's next check.
+        /// The next check of a running request.
         Request(Ticket),
-        /// Reports of a target have stayed away.
+        /// A target has not reported for too long.
         Silence(TargetKey),
         /// The end of an ejection.
-        Target(TargetKey),
-        /// A pass over the queue of a class.
+        Ejection(TargetKey),
+        /// The next check of the queue of a class.
         Shed(ClassKey),
     }
 }
 
-/// Admits by deadline, queues by fair share, and shares targets with the other entries.
+/// Admits by deadline, queues by fair share, and shares targets with the other entry nodes.
 ///
 /// ```
 /// use celeryhaven_policy::{FairPolicy, FairSettings, PolicyEvent, RequestPolicy};
@@ -45,7 +45,7 @@
 pub struct FairPolicy {
     pub(crate) settings: FairSettings,
     pub(crate) rng: SmallRng,
-    pub(crate) sharers: u32,
+    pub(crate) senders: u32,
     pub(crate) classes: Vec<ClassState>,
     pub(crate) targets: Map<TargetKey, TargetState>,
     pub(crate) requests: Map<Ticket, RequestState>,
@@ -59,13 +59,13 @@
 }
 
 impl FairPolicy {
-    /// A policy that knows no targets yet.
+    /// Creates a policy without targets.
     pub fn new(settings: FairSettings) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(settings.seed),
             retry_budget: RetryBudget::new(settings.retry_earned, settings.retry_saved_max),
             settings,
-            sharers: 1,
+            senders: 1,
             classes: Vec::new(),
             targets: Map::default(),
             requests: Map::default(),
@@ -78,17 +78,18 @@
         }
     }
 
-    /// Candidates weighed by picks and entries visited by queues since the policy was made.
+    /// Returns the number of candidates scored and queue entries visited since the policy was
+    /// created.
     pub fn visits(&self) -> u64 {
         self.pick_visits + self.classes.iter().map(|class| class.queue.visits()).sum::<u64>()
     }
 
-    /// Saves at most this many retries from now on.
+    /// Sets the most retries that the budget may save.
     pub fn set_retry_saved_max(&mut self, saved_max: f64) {
         self.retry_budget.set_saved_max(saved_max);
     }
 
-    /// Shares slots in this way from now on, such as when the number of nodes has changed.
+    /// Sets how slots are shared, such as after a change of the number of nodes.
     pub fn set_sharing(&mut self, sharing: Sharing) {
         self.settings.sharing = sharing;
         for class in &mut self.classes {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Requests that wait for a target.
+    /// Returns the number of requests that wait for a target.
     pub fn queued(&self) -> usize {
         self.classes.iter().map(|class| class.queue.len()).sum()
     }
@@ -137,16 +138,16 @@
         *self.adapter_keys.entry(adapter.clone()).or_insert(next)
     }
 
-    /// Gives a request its final answer and forgets it.
+    /// Removes a request and refuses it.
     pub(crate) fn refuse(&mut self, ticket: Ticket, refusal: Refusal, out: &mut Vec<Decision>) {
-        self.forget(ticket);
+        self.remove_request(ticket);
         out.push(Decision::Refuse { ticket, refusal });
     }
 
-    pub(crate) fn forget(&mut self, ticket: Ticket) -> Option<RequestState> {
+    pub(crate) fn remove_request(&mut self, ticket: Ticket) -> Option<RequestState> {
         let request = self.requests.remove(&ticket)?;
-        if let Some(wake_at) = request.wake_at {
-            self.timers.remove(&(wake_at, Timer::Request(ticket)));
+        if let Some(check_at) = request.check_at {
+            self.timers.remove(&(check_at, Timer::Request(ticket)));
         }
         self.class(request.class).queue.remove(ticket);
         Some(request)
@@ -170,8 +171,8 @@
             self.timers.pop_first();
             match timer {
                 Timer::Request(ticket) => self.check_running(now, ticket, out),
-                Timer::Silence(target) => self.silent(now, target, out),
-                Timer::Target(target) => self.probe(now, target, out),
+                Timer::Silence(target) => self.check_silence(now, target, out),
+                Timer::Ejection(target) => self.probe(now, target, out),
                 Timer::Shed(class) => self.shed(now, class, out),
             }
         }
@@ -182,22 +183,24 @@
     fn handle(&mut self, now: TimeMs, event: PolicyEvent<'_>, out: &mut Vec<Decision>) {
         match event {
             PolicyEvent::Tick => self.tick(now, out),
-            PolicyEvent::Arrived { ticket, head } => self.arrive(now, ticket, head, out),
-            PolicyEvent::Started { ticket } => self.start(now, ticket, out),
+            PolicyEvent::Arrived { ticket, head } => self.admit(now, ticket, head, out),
+            PolicyEvent::Started { ticket } => self.attempt_started(now, ticket, out),
             PolicyEvent::Finished { ticket, output_tokens } => {
-                self.finish(now, ticket, output_tokens, out);
+                self.request_finished(now, ticket, output_tokens, out);
             }
-            PolicyEvent::Broken { ticket, verdict } => self.broke(now, ticket, verdict, out),
-            PolicyEvent::CallerGone { ticket } => self.caller_gone(now, ticket, out),
+            PolicyEvent::Broken { ticket, verdict } => {
+                self.attempt_failed(now, ticket, verdict, out);
+            }
+            PolicyEvent::CallerGone { ticket } => self.caller_disconnected(now, ticket, out),
             PolicyEvent::TargetUp { target, profile } => {
                 self.target_up(now, target, &profile, out);
             }
             PolicyEvent::TargetDown { target } => self.target_down(target),
-            PolicyEvent::Reported { target, load } => self.reported(now, target, &load, out),
+            PolicyEvent::Reported { target, load } => self.apply_report(now, target, &load, out),
             PolicyEvent::CacheChanged { target, added, removed } => {
                 self.cache_changed(target, added, removed);
             }
-            PolicyEvent::Sharers { nodes } => self.set_sharers(now, nodes, out),
+            PolicyEvent::Sharers { nodes } => self.set_senders(now, nodes, out),
             PolicyEvent::Organisations { organisations } => self.set_organisations(organisations),
         }
     }
--- a/crates/policy/src/fair/request.rs
+++ b/crates/policy/src/fair/request.rs
@@ -4,19 +4,19 @@
 
 use crate::fair::{AdapterKey, ClassKey};
 use crate::interface::TargetKey;
-use crate::targets::Expected;
+use crate::targets::AttemptEstimate;
 
 state! {
     /// Why a running attempt was cancelled.
     #[derive(Copy, Eq)]
     pub(crate) enum CancelReason {
-        /// It cannot be in time any more.
+        /// It can no longer meet its deadline.
         TooLate,
-        /// Its target gives no first token; it goes elsewhere.
+        /// Its target does not answer; the request is retried at another.
         Stuck,
     }
 
-    /// Where a request stands.
+    /// The phase of a request.
     #[derive(Copy)]
     pub(crate) enum Phase {
         /// In the queue of its class.
@@ -29,12 +29,12 @@
             uncached_tokens: f64,
             /// Whether the target had to load the adapter first.
             loads_adapter: bool,
-            expected: Expected,
+            estimate: AttemptEstimate,
             cancelled: Option<CancelReason>,
         },
     }
 
-    /// The target chosen for a request and what it has to do there.
+    /// The target picked for a request, and the work it has to do there.
     #[derive(Copy)]
     pub(crate) struct Pick {
         pub(crate) target: TargetKey,
@@ -42,22 +42,22 @@
         pub(crate) loads_adapter: bool,
     }
 
-    /// Expected time in a slot, in milliseconds.
+    /// Estimated slot time of a request, in milliseconds.
     #[derive(Copy)]
     pub(crate) struct Cost {
-        /// What it takes on average; shares are charged by it.
+        /// Mean; charged to the share of the flow.
         pub(crate) mean_ms: f64,
-        /// What most stay under; deadlines are judged by it.
+        /// Value that most requests stay below; used for deadlines.
         pub(crate) high_ms: f64,
     }
 
-    /// One request that has not had its final answer.
+    /// A request without a final answer.
     pub(crate) struct RequestState {
         pub(crate) class: ClassKey,
         pub(crate) flow: FlowKey,
         pub(crate) idempotent: bool,
         pub(crate) deadline: TimeMs,
-        /// When it must be at a target, if it must be before its deadline makes it.
+        /// When it must be sent to begin within its objective; `None` without an objective.
         pub(crate) send_by: Option<TimeMs>,
         pub(crate) prompt_tokens: u32,
         pub(crate) output_tokens_max: u32,
@@ -70,6 +70,6 @@
         pub(crate) may_have_run: bool,
         pub(crate) avoid: Option<TargetKey>,
         pub(crate) phase: Phase,
-        pub(crate) wake_at: Option<TimeMs>,
+        pub(crate) check_at: Option<TimeMs>,
     }
 }
--- a/crates/policy/src/interface/decision.rs
+++ b/crates/policy/src/interface/decision.rs
@@ -4,25 +4,25 @@
 use crate::interface::{TargetKey, Ticket};
 
 state! {
-    /// What a policy wants done.
+    /// An action that a policy requests from its driver.
     pub enum Decision {
-        /// Send the request to a target now.
+        /// Sends the request to a target.
         Dispatch {
-            /// Which request.
+            /// The request to send.
             ticket: Ticket,
-            /// Where.
+            /// The target to send it to.
             target: TargetKey,
         },
-        /// Give the caller this final answer now; the ticket is finished.
+        /// Gives the caller a final refusal; the ticket is finished.
         Refuse {
-            /// Which request.
+            /// The request to refuse.
             ticket: Ticket,
-            /// The answer.
+            /// The refusal that the caller receives.
             refusal: Refusal,
         },
-        /// Stop a running attempt at its target; `Broken` follows.
+        /// Stops a running attempt at its target; `Broken` follows.
         Cancel {
-            /// Which request.
+            /// The request whose attempt is stopped.
             ticket: Ticket,
         },
     }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -2,80 +2,81 @@
 
 use crate::interface::{TargetKey, TargetLoad, TargetProfile, Ticket};
 
-/// What a policy hears.
+/// An input to a policy.
 #[derive(Clone, Debug)]
 pub enum PolicyEvent<'a> {
-    /// Time has passed; given at [`RequestPolicy::next_wake`](super::RequestPolicy::next_wake).
+    /// Processes timers that are due, see
+    /// [`RequestPolicy::next_wake`](super::RequestPolicy::next_wake).
     Tick,
     /// A request arrived; its deadline counts from now.
     Arrived {
-        /// Names it from now on.
+        /// Identifies the request in later events and decisions.
         ticket: Ticket,
-        /// What is known of it.
+        /// Class, organisation, limits and deadline of the request.
         head: &'a RequestHead,
     },
-    /// A target answered its first token or its first byte.
+    /// A target sent the first token or the first byte of its answer.
     Started {
-        /// Which request.
+        /// The request that is being answered.
         ticket: Ticket,
     },
-    /// The caller has the whole answer; the ticket is finished.
+    /// The caller received the whole answer; the ticket is finished.
     Finished {
-        /// Which request.
+        /// The request that was answered.
         ticket: Ticket,
-        /// Tokens of the answer.
+        /// Number of tokens in the answer.
         output_tokens: u32,
     },
     /// An attempt ended without a whole answer; the policy sends it elsewhere or refuses it.
     ///
-    /// A verdict of [`Verdict::MayHaveRun`] is retried only if the request is idempotent.
+    /// After [`Verdict::MayHaveRun`], the request is retried only if it is idempotent.
     Broken {
-        /// Which request.
+        /// The request whose attempt failed.
         ticket: Ticket,
         /// Whether the attempt may have run.
         verdict: Verdict,
     },
-    /// The caller went away; the ticket is finished.
+    /// The caller disconnected; the ticket is finished.
     CallerGone {
-        /// Which request.
+        /// The request of the caller.
         ticket: Ticket,
     },
-    /// A target may take requests from now on, or its profile changed.
+    /// A target accepts requests, or its profile changed.
     TargetUp {
-        /// Which target.
+        /// The target.
         target: TargetKey,
-        /// What it serves.
+        /// What the target serves.
         profile: TargetProfile,
     },
-    /// A target takes no new requests from now on; those it has may finish.
+    /// A target accepts no new requests; running ones may finish.
     TargetDown {
-        /// Which target.
+        /// The target.
         target: TargetKey,
     },
-    /// A load report came in.
+    /// A load report of a target was received.
     Reported {
-        /// Of which target.
+        /// The target.
         target: TargetKey,
-        /// Its load, lagging.
+        /// Its load when the report was made.
         load: TargetLoad,
     },
-    /// A target's prefix cache changed; late, and some events never come.
+    /// The prefix cache of a target changed; events may be late or lost.
     CacheChanged {
-        /// Of which target.
+        /// The target.
         target: TargetKey,
-        /// Blocks that entered the cache.
+        /// Blocks that were added to the cache.
         added: &'a [u64],
-        /// Blocks that left it.
+        /// Blocks that were evicted from the cache.
         removed: &'a [u64],
     },
     /// The number of live entry nodes that send to the same targets, this one included.
     Sharers {
-        /// How many.
+        /// Number of nodes.
         nodes: u32,
     },
-    /// The organisations of the configuration in force.
+    /// The organisations of the active configuration.
     Organisations {
-        /// All of them.
+        /// All organisations.
         organisations: &'a [Organisation],
     },
 }
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The narrow interface of a request policy.
+//! Events, decisions and the trait of a request policy.
 
 mod decision;
 mod event;
--- a/crates/policy/src/interface/request_policy.rs
+++ b/crates/policy/src/interface/request_policy.rs
@@ -2,15 +2,15 @@
 
 use crate::interface::{Decision, PolicyEvent};
 
-/// Decides when and where each request runs, and which requests do not.
+/// Decides when and where each request runs, and which requests are refused.
 ///
-/// Every ticket that arrives ends in exactly one of: a [`Decision::Refuse`], a
-/// [`PolicyEvent::Finished`] or a [`PolicyEvent::CallerGone`]. Between them each
+/// Every ticket that arrives is finished by exactly one [`Decision::Refuse`],
+/// [`PolicyEvent::Finished`] or [`PolicyEvent::CallerGone`]. Until then, each
 /// [`Decision::Dispatch`] is followed by `Finished`, `Broken` or `CallerGone`.
 pub trait RequestPolicy {
-    /// Takes one event and appends what is to be done.
+    /// Applies one event and appends the resulting decisions to `out`.
     fn handle(&mut self, now: TimeMs, event: PolicyEvent<'_>, out: &mut Vec<Decision>);
 
-    /// When [`PolicyEvent::Tick`] is due; `None` while nothing waits for time.
+    /// Returns when [`PolicyEvent::Tick`] is next due, or `None` if no timer is pending.
     fn next_wake(&self) -> Option<TimeMs>;
 }
--- a/crates/policy/src/interface/target.rs
+++ b/crates/policy/src/interface/target.rs
@@ -2,31 +2,31 @@
 use celeryhaven_types::{AdapterName, RequestClass};
 
 state! {
-    /// What a policy knows of a target besides its load.
+    /// The static properties of a target.
     pub struct TargetProfile {
-        /// What it serves; the adapter of a completion class is always `None` here.
+        /// Requests that it serves; the adapter of a completion class is always `None` here.
         pub serves: RequestClass,
-        /// Requests it runs side by side.
+        /// Number of requests that it runs concurrently.
         pub slots: u32,
-        /// One-way delay from this node, in microseconds.
+        /// One-way network delay from this node, in microseconds.
         pub distance_us: u32,
     }
 
-    /// One load report of a target; it lags.
+    /// A load report of a target.
     pub struct TargetLoad {
-        /// Age of the figures when this node got them, in milliseconds.
+        /// Age of the report when this node received it, in milliseconds.
         pub age_ms: u64,
-        /// Requests running, from all nodes.
+        /// Requests that run at the target, from all nodes.
         pub running: u32,
-        /// Requests waiting inside the target, from all nodes.
+        /// Requests queued inside the target, from all nodes.
         pub waiting: u32,
-        /// Prompt tokens still to be prefilled.
+        /// Prompt tokens that still have to be prefilled.
         pub prefill_tokens_queued: u64,
         /// KV cache in use, in thousandths.
         pub kv_used_permille: u32,
-        /// Tokens generated since its engine started.
+        /// Tokens generated since the engine of the target started.
         pub tokens_generated: u64,
-        /// Adapters in memory.
+        /// Adapters loaded in memory.
         pub adapters_loaded: Vec<AdapterName>,
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,14 +1,14 @@
 //! Request decisions under load: admit, pick, refuse, retry, eject.
 //!
-//! Everything here runs without I/O: time comes in as an argument and randomness from a seed, so
-//! any bench can drive a policy through [`RequestPolicy`].
+//! Policies perform no I/O: the current time is an argument and randomness comes from a seed, so a
+//! benchmark or simulator can drive any policy through [`RequestPolicy`].
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`interface`] | the events a policy hears and the decisions it gives |
-//! | [`fair`] | the policy in use: fair queue, admission by deadline, sharing of targets |
-//! | [`standstill`] | replicas whose streams stand still together |
-//! | [`baseline`] | first-in-first-out policies that it is measured against |
+//! | [`interface`] | events that a policy receives and decisions that it returns |
+//! | [`fair`] | the production policy: fair queue, admission by deadline, sharing of targets |
+//! | [`standstill`] | detection of replicas whose streams have all stalled |
+//! | [`baseline`] | first-in-first-out policies for comparison |
 
 pub mod baseline;
 pub mod fair;
--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -1,7 +1,7 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// A token bucket of retries.
+    /// A token bucket that limits retries.
     #[derive(Copy)]
     pub(crate) struct RetryBudget {
         earned: f64,
@@ -15,21 +15,21 @@
         Self { earned, saved_max, saved: saved_max }
     }
 
-    /// Saves at most this many from now on, such as when the number of nodes has changed.
+    /// Sets the most retries that may be saved, and drops those above it.
     pub(crate) fn set_saved_max(&mut self, saved_max: f64) {
         self.saved_max = saved_max;
         self.saved = self.saved.min(saved_max);
     }
 
-    pub(crate) fn arrived(&mut self) {
+    pub(crate) fn deposit(&mut self) {
         self.saved = (self.saved + self.earned).min(self.saved_max);
     }
 
-    pub(crate) fn take(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
-        if enough {
+    pub(crate) fn try_withdraw(&mut self) -> bool {
+        let has_token = self.saved >= 1.0;
+        if has_token {
             self.saved -= 1.0;
         }
-        enough
+        has_token
     }
 }
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -1,7 +1,7 @@
-//! Retries of broken attempts, and when refused callers should ask again.
+//! Retry budget, and the retry times given to refused callers.
 
 mod budget;
-mod return_times;
+mod retry_schedule;
 
 pub(crate) use budget::RetryBudget;
-pub(crate) use return_times::ReturnTimes;
+pub(crate) use retry_schedule::RetrySchedule;
--- a/crates/policy/src/standstill/mod.rs
+++ b/crates/policy/src/standstill/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas whose streams stand still together.
+//! Detection of replicas whose streams have all stalled.
 
 mod watch;
 
--- a/crates/policy/src/standstill/watch.rs
+++ b/crates/policy/src/standstill/watch.rs
@@ -2,24 +2,18 @@
 
 use celeryhaven_types::{Map, TimeMs};
 
-/// How long all streams of a replica may stand still together before it is suspected, in
-/// milliseconds.
+/// Time without an event from any stream of a replica after which it is suspected.
 ///
-/// A full batch with long prompts between its tokens gives an event each 100 to 200 ms; a replica
-/// that has lost a member gives none until its head notices, seconds later.
-const STILL_MS: u64 = 600;
+/// A full batch with long prompts may pause for up to 200 ms between events.
+const STALL_TIMEOUT_MS: u64 = 600;
 
-/// How long a suspected replica gets no requests, in milliseconds.
-///
-/// Its decider finds a lost member within half a second and takes the replica apart; one that was
-/// suspected wrongly serves again after this.
-const SUSPECTED_MS: u64 = 2_500;
+/// Time for which a suspected replica receives no requests.
+const SUSPICION_MS: u64 = 2_500;
 
-/// Signs of life of the replicas that this node has streams at.
+/// Detects replicas whose streams have all stopped producing events.
 ///
-/// Load: a replica that loses a member while its head goes on taking requests. Harm: for seconds
-/// everything sent there waits until its callers give up. The streams that it already gives fall
-/// silent together, which costs nothing to see.
+/// A replica that has lost a member may still accept requests that it can't answer. Its open
+/// streams stop together, which shows the failure before the coordinator reports it.
 ///
 /// ```
 /// use celeryhaven_policy::StandstillWatch;
@@ -35,7 +29,7 @@
 pub struct StandstillWatch<K> {
     replicas: Map<K, Streams>,
     suspected: Map<K, TimeMs>,
-    /// Whether other replicas are suspected than when that was asked last.
+    /// Whether the set of suspected replicas changed since the last `take_changed`.
     changed: bool,
 }
 
@@ -52,20 +46,20 @@
 }
 
 impl<K: Clone + Eq + Hash + Ord> StandstillWatch<K> {
-    /// Watches nothing yet.
+    /// Creates a detector without streams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A stream has begun to give events.
+    /// Records that a stream of a replica has produced its first event.
     pub fn begun(&mut self, now: TimeMs, name: &K) {
-        let fresh = Streams { open: 0, last_event_at: now };
-        let streams = self.replicas.entry(name.clone()).or_insert(fresh);
+        let initial = Streams { open: 0, last_event_at: now };
+        let streams = self.replicas.entry(name.clone()).or_insert(initial);
         streams.open += 1;
         streams.last_event_at = now;
     }
 
-    /// An event has come.
+    /// Records a further event of a stream, which clears a suspicion of its replica.
     pub fn event(&mut self, now: TimeMs, name: &K) {
         if let Some(streams) = self.replicas.get_mut(name) {
             streams.last_event_at = now;
@@ -73,7 +67,7 @@
         self.changed |= self.suspected.remove(name).is_some();
     }
 
-    /// A stream that had begun is over.
+    /// Records that a stream has finished.
     pub fn ended(&mut self, name: &K) {
         if let Some(streams) = self.replicas.get_mut(name) {
             streams.open = streams.open.saturating_sub(1);
@@ -83,13 +77,14 @@
         }
     }
 
-    /// Replicas whose streams stand still, each named once for a while.
+    /// Returns the stalled replicas that are not suspected yet, in order, and suspects them.
     pub fn still(&mut self, now: TimeMs) -> Vec<K> {
         let before = self.suspected.len();
-        self.suspected.retain(|_, until| *until > now);
+        self.suspected.retain(|_, expires_at| *expires_at > now);
         self.changed |= self.suspected.len() != before;
         let still = self.replicas.iter().filter(|(name, streams)| {
-            now.since(streams.last_event_at) >= STILL_MS && !self.suspected.contains_key(*name)
+            now.since(streams.last_event_at) >= STALL_TIMEOUT_MS
+                && !self.suspected.contains_key(*name)
         });
         let mut still: Vec<_> = still.map(|(name, _)| name.clone()).collect();
         still.sort();
@@ -97,18 +92,18 @@
         still
     }
 
-    /// Keeps requests away from a replica for a while.
+    /// Suspects a replica, so that it receives no requests for a while.
     pub fn suspect(&mut self, now: TimeMs, name: &K) {
-        self.changed |= self.suspected.insert(name.clone(), now.after(SUSPECTED_MS)).is_none();
+        self.changed |= self.suspected.insert(name.clone(), now.after(SUSPICION_MS)).is_none();
     }
 
-    /// Whether other replicas are suspected than when this was asked last.
+    /// Returns whether the set of suspected replicas changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether a replica gets no requests for now.
+    /// Whether a replica is suspected and receives no requests.
     pub fn is_suspected(&self, now: TimeMs, name: &K) -> bool {
-        self.suspected.get(name).is_some_and(|&until| until > now)
+        self.suspected.get(name).is_some_and(|&expires_at| expires_at > now)
     }
 }
--- a/crates/policy/src/targets/adapter.rs
+++ b/crates/policy/src/targets/adapter.rs
@@ -4,11 +4,11 @@
 use crate::fair::AdapterKey;
 
 state! {
-    /// An adapter that a target holds or is loading.
+    /// An adapter that a target has loaded or is loading.
     #[derive(Copy)]
-    pub(crate) struct HeldAdapter {
+    pub(crate) struct LoadedAdapter {
         pub(crate) key: AdapterKey,
-        /// When this node first had it there.
+        /// When this node first saw it loaded, or sent a request that loads it.
         pub(crate) since: TimeMs,
     }
 }
--- a/crates/policy/src/targets/health.rs
+++ b/crates/policy/src/targets/health.rs
@@ -1,68 +1,60 @@
 use celeryhaven_derives::state;
 use celeryhaven_types::TimeMs;
 
-/// Samples before a target is judged.
-///
-/// Load: a long prompt first. Harm: one slow answer ejects a healthy target. Limit: four answers
-/// in a row, a second or two under load.
+/// Answers after which a target may be ejected as slow, so that one long prompt does not eject it.
 const SAMPLES_MIN: u32 = 4;
 
-/// Times slower than its peers from which a target is ejected.
-///
-/// Load: one straggler among peers. Harm: it holds a share of the slots for several times as long,
-/// and those callers are late. Limit: full batches and mixed prompts alone make a healthy target
-/// up to half as slow again as its peers; twice is not reached by them.
+/// Latency relative to its peers above which a target is ejected.
 const SLOW_RATIO: f64 = 2.0;
 
-/// Times slower than its peers up to which a probe lets a target back in.
-const HEALED_RATIO: f64 = 1.5;
+/// Latency relative to its peers below which a probe readmits a target.
+const RECOVERED_RATIO: f64 = 1.5;
 
-/// Attempts that broke in a row from which a target is ejected.
-const BREAKS_MAX: u32 = 3;
+/// Consecutive failed attempts after which a target is ejected.
+const CONSECUTIVE_FAILURES_MAX: u32 = 3;
 
-/// First and longest time between ejection and the next probe.
-///
-/// Load: a target that stays slow. Harm: each probe is a caller's request that may be late. Limit:
-/// twice as long each time, at most half a minute, so that a healed target serves again within it.
-const PROBE_AFTER_MS: u64 = 2_000;
-const PROBE_AFTER_MAX_MS: u64 = 30_000;
+/// First and longest delay between an ejection and the probe; it doubles with each ejection,
+/// because each probe is a request that may be late.
+const PROBE_DELAY_MS: u64 = 2_000;
+const PROBE_DELAY_MAX_MS: u64 = 30_000;
 
-/// Weight of a new sample.
+/// Weight of a new latency sample.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
 state! {
-    /// Whether a target takes requests.
+    /// Whether a target accepts requests.
     #[derive(Copy, Eq)]
-    pub(crate) enum Standing {
-        /// As many as it may.
+    pub(crate) enum HealthState {
+        /// Accepts requests up to its limit.
         Healthy,
-        /// None until then.
+        /// Accepts no requests before `until`.
         Ejected {
             until: TimeMs,
         },
-        /// One at a time, to see whether it has healed.
+        /// Accepts one request at a time, to check whether it has recovered.
         Probing,
     }
 
-    /// How a target's answers compare with what its class is expected to take.
+    /// The health of a target: its latency relative to the estimates of its class, and its
+    /// failures.
     #[derive(Copy)]
     pub(crate) struct Health {
-        pub(crate) standing: Standing,
+        pub(crate) state: HealthState,
         ratio: f64,
         samples: u32,
-        breaks: u32,
-        probe_after_ms: u64,
+        consecutive_failures: u32,
+        probe_delay_ms: u64,
     }
 }
 
 impl Health {
     pub(crate) fn new() -> Self {
         Self {
-            standing: Standing::Healthy,
+            state: HealthState::Healthy,
             ratio: 1.0,
             samples: 0,
-            breaks: 0,
-            probe_after_ms: PROBE_AFTER_MS,
+            consecutive_failures: 0,
+            probe_delay_ms: PROBE_DELAY_MS,
         }
     }
 
@@ -70,56 +62,57 @@
         self.ratio
     }
 
-    /// Counts it as broken: its reports have stopped.
-    pub(crate) fn fell_silent(&mut self) {
-        self.breaks = BREAKS_MAX;
+    /// Records that the load reports of the target have stopped; counts as repeated failure.
+    pub(crate) fn record_silence(&mut self) {
+        self.consecutive_failures = CONSECUTIVE_FAILURES_MAX;
     }
 
-    /// Whether it breaks what it gets, one attempt after another.
-    pub(crate) fn is_broken(&self) -> bool {
-        self.breaks >= BREAKS_MAX
+    /// Whether consecutive attempts at the target have failed.
+    pub(crate) fn is_failing(&self) -> bool {
+        self.consecutive_failures >= CONSECUTIVE_FAILURES_MAX
     }
 
-    /// Counts an answer that took `ratio` times what was expected of its class.
-    pub(crate) fn answered(&mut self, ratio: f64) {
+    /// Records an answer that took `ratio` times its estimate.
+    pub(crate) fn record_answer(&mut self, ratio: f64) {
         self.samples = self.samples.saturating_add(1);
-        self.breaks = 0;
-        if self.standing == Standing::Probing {
+        self.consecutive_failures = 0;
+        if self.state == HealthState::Probing {
             self.ratio = ratio;
         } else {
             self.ratio += (ratio - self.ratio) * SAMPLE_WEIGHT;
         }
-        if self.standing == Standing::Probing && ratio < HEALED_RATIO {
+        if self.state == HealthState::Probing && ratio < RECOVERED_RATIO {
             *self = Self::new();
         }
     }
 
-    pub(crate) fn broke(&mut self) {
-        self.breaks = self.breaks.saturating_add(1);
+    pub(crate) fn record_failure(&mut self) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
-    /// Whether it should take no requests for a while, given its peers' mean ratio.
-    pub(crate) fn is_bad(&self, peers_ratio: f64) -> bool {
-        let slow = self.samples >= SAMPLES_MIN && self.ratio > SLOW_RATIO * peers_ratio.max(0.5);
-        match self.standing {
-            Standing::Healthy => slow || self.is_broken(),
-            Standing::Probing => {
-                self.breaks > 0 || self.ratio >= HEALED_RATIO * peers_ratio.max(0.5)
+    /// Whether the target should be ejected, given the mean latency ratio of its peers.
+    pub(crate) fn should_eject(&self, peers_ratio: f64) -> bool {
+        let is_slow = self.samples >= SAMPLES_MIN && self.ratio > SLOW_RATIO * peers_ratio.max(0.5);
+        match self.state {
+            HealthState::Healthy => is_slow || self.is_failing(),
+            HealthState::Probing => {
+                self.consecutive_failures > 0
+                    || self.ratio >= RECOVERED_RATIO * peers_ratio.max(0.5)
             }
-            Standing::Ejected { .. } => false,
+            HealthState::Ejected { .. } => false,
         }
     }
 
     pub(crate) fn eject(&mut self, now: TimeMs) -> TimeMs {
-        let until = now.after(self.probe_after_ms);
-        self.standing = Standing::Ejected { until };
-        self.probe_after_ms = (self.probe_after_ms * 2).min(PROBE_AFTER_MAX_MS);
+        let until = now.after(self.probe_delay_ms);
+        self.state = HealthState::Ejected { until };
+        self.probe_delay_ms = (self.probe_delay_ms * 2).min(PROBE_DELAY_MAX_MS);
         until
     }
 
-    pub(crate) fn probe(&mut self) {
-        self.standing = Standing::Probing;
-        self.breaks = 0;
+    pub(crate) fn start_probing(&mut self) {
+        self.state = HealthState::Probing;
+        self.consecutive_failures = 0;
         self.ratio = 1.0;
     }
 }
--- a/crates/policy/src/targets/mod.rs
+++ b/crates/policy/src/targets/mod.rs
@@ -1,15 +1,15 @@
-//! Targets as one entry node sees them: lagging load, own sends since, health.
+//! State of each target as seen by one entry node: last load report, own requests since, health.
 
 mod adapter;
-mod available;
 mod health;
 mod in_flight;
 mod subset;
+mod target_set;
 mod target_state;
 
-pub(crate) use adapter::HeldAdapter;
-pub(crate) use available::Available;
-pub(crate) use health::{Health, Standing};
-pub(crate) use in_flight::{Expected, InFlight};
+pub(crate) use adapter::LoadedAdapter;
+pub(crate) use health::{Health, HealthState};
+pub(crate) use in_flight::{AttemptEstimate, InFlight};
 pub use subset::TargetSubset;
-pub(crate) use target_state::{TargetState, Usual};
+pub(crate) use target_set::TargetSet;
+pub(crate) use target_state::{ClassAverage, TargetState};
--- a/crates/policy/src/targets/subset.rs
+++ b/crates/policy/src/targets/subset.rs
@@ -1,16 +1,15 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Targets that a node sends to of those that many nodes share.
+/// Number of targets that a node sends to when many nodes share the targets.
 ///
-/// Load: loads are told with answers, so a node that spreads few requests over many targets hears of
-/// each every few seconds, and knows none of them. Of five it hears each second, and the best of five
-/// is nearly as good as the best of all.
+/// Load reports come with answers, so a node that spreads few requests over many targets has only
+/// outdated reports of each.
 const SUBSET_TARGETS: usize = 5;
 
-/// A node's stable part of the targets that serve the same requests.
+/// Selects a stable subset of the targets that serve the same requests.
 ///
-/// Load pattern: many nodes before many targets, near or beyond what these can do. Chosen by
-/// rendezvous hash, so that nodes spread evenly and a target that is gone is replaced by one other.
+/// For many nodes that send to many targets. Rendezvous hashing spreads the nodes evenly over the
+/// targets, and a target that is removed is replaced by one other.
 ///
 /// ```
 /// use celeryhaven_policy::TargetSubset;
@@ -18,7 +17,7 @@
 /// let names: Vec<String> = (0..40).map(|number| format!("replica-{number}")).collect();
 /// let chosen = TargetSubset::new(7).choose(&names, String::as_str);
 /// assert_eq!(chosen.len(), 5);
-/// // Eighty nodes that each send to one target of eight are ten at a target.
+/// // 80 nodes that each use 5 of 40 targets: 10 nodes per target.
 /// assert_eq!(TargetSubset::sharers(80, chosen.len(), names.len()), 10);
 /// ```
 #[derive(Clone, Copy, Debug)]
@@ -27,23 +26,24 @@
 }
 
 impl TargetSubset {
-    /// The subset of a node; the seed tells it from other nodes.
+    /// Creates the subset of a node; each node needs its own seed.
     pub fn new(seed: u64) -> Self {
         Self { seed }
     }
 
-    /// The targets that this node sends to, by their names.
+    /// Selects the targets that this node sends to, by their names.
     pub fn choose<'a, T>(&self, all: &'a [T], name: impl Fn(&T) -> &str) -> Vec<&'a T> {
         let weight = |target: &&T| xxh3_64_with_seed(name(target).as_bytes(), self.seed);
-        let mut ranked: Vec<&T> = all.iter().collect();
-        ranked.sort_by_cached_key(weight);
-        ranked.truncate(SUBSET_TARGETS);
-        ranked
+        let mut by_weight: Vec<&T> = all.iter().collect();
+        by_weight.sort_by_cached_key(weight);
+        by_weight.truncate(SUBSET_TARGETS);
+        by_weight
     }
 
-    /// Nodes that send to the same target, of a number of nodes that each choose some of all.
+    /// Returns the mean number of nodes that send to the same target, if each of `nodes` selects
+    /// `chosen` of `all` targets.
     pub fn sharers(nodes: u32, chosen: usize, all: usize) -> u32 {
-        let part = chosen as f64 / all.max(1) as f64;
-        (f64::from(nodes) * part).round().max(1.0) as u32
+        let fraction = chosen as f64 / all.max(1) as f64;
+        (f64::from(nodes) * fraction).round().max(1.0) as u32
     }
 }
--- a/crates/policy/src/targets/available.rs
+++ b/crates/policy/src/targets/target_set.rs
@@ -3,25 +3,25 @@
 
 use crate::interface::TargetKey;
 
-/// Targets of one class that may take a request now, for sampling in constant time.
+/// A set of targets that can be sampled in constant time.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Available {
+pub(crate) struct TargetSet {
     targets: Vec<TargetKey>,
-    places: Map<TargetKey, usize>,
+    positions: Map<TargetKey, usize>,
 }
 
-impl Available {
-    pub(crate) fn set(&mut self, target: TargetKey, available: bool) {
-        match (self.places.get(&target).copied(), available) {
+impl TargetSet {
+    pub(crate) fn set(&mut self, target: TargetKey, present: bool) {
+        match (self.positions.get(&target).copied(), present) {
             (None, true) => {
-                self.places.insert(target, self.targets.len());
+                self.positions.insert(target, self.targets.len());
                 self.targets.push(target);
             }
-            (Some(place), false) => {
-                self.places.remove(&target);
-                self.targets.swap_remove(place);
-                if let Some(&moved) = self.targets.get(place) {
-                    self.places.insert(moved, place);
+            (Some(position), false) => {
+                self.positions.remove(&target);
+                self.targets.swap_remove(position);
+                if let Some(&moved) = self.targets.get(position) {
+                    self.positions.insert(moved, position);
                 }
             }
             (None, false) | (Some(_), true) => {}
@@ -29,7 +29,7 @@
     }
 
     pub(crate) fn contains(&self, target: TargetKey) -> bool {
-        self.places.contains_key(&target)
+        self.positions.contains_key(&target)
     }
 
     pub(crate) fn is_empty(&self) -> bool {
--- a/crates/policy/src/targets/target_state.rs
+++ b/crates/policy/src/targets/target_state.rs
@@ -6,16 +6,14 @@
 use crate::estimate::Mean;
 use crate::fair::{AdapterKey, ClassKey, Sharing};
 use crate::interface::{TargetLoad, TargetProfile, Ticket};
-use crate::targets::{Expected, Health, HeldAdapter, InFlight, Standing};
+use crate::targets::{AttemptEstimate, Health, HealthState, InFlight, LoadedAdapter};
 
-/// Sends and ends remembered since the last report.
-///
-/// Load: a target whose reports stopped. Harm: memory that grows with every request. Limit: more
-/// than a few times the slots of any engine; beyond it the oldest are forgotten.
-const SINCE_REPORT_MAX: usize = 512;
+/// Maximum number of sends, and of completions, recorded since the last report. It bounds the memory
+/// of a target that stops reporting; the oldest are dropped.
+const EVENTS_SINCE_REPORT_MAX: usize = 512;
 
 state! {
-    /// One target as this node sees it.
+    /// The state of a target as seen by this node.
     pub(crate) struct TargetState {
         pub(crate) class: ClassKey,
         pub(crate) slots: u32,
@@ -23,54 +21,53 @@
         pub(crate) up: bool,
         /// Requests of this node at the target.
         pub(crate) in_flight: InFlight,
-        /// Which those are.
+        /// The tickets of these requests.
         pub(crate) tickets: BTreeSet<Ticket>,
-        /// Slots that this node may use whatever the others do.
+        /// Slots reserved for this node.
         pub(crate) share: u32,
         /// Slots that this node may use until the next report.
-        pub(crate) cap: u32,
+        pub(crate) slot_limit: u32,
         pub(crate) health: Health,
-        pub(crate) adapters: Vec<HeldAdapter>,
+        pub(crate) adapters: Vec<LoadedAdapter>,
         pub(crate) prefill_tokens_queued: u64,
-        /// When its silence is looked at.
+        /// When the target counts as silent unless a report is received before.
         pub(crate) silent_at: Option<TimeMs>,
         report_interval_ms: Mean,
-        reported: Option<Reported>,
+        last_report: Option<LoadReport>,
         sends: VecDeque<TimeMs>,
-        ends: VecDeque<TimeMs>,
+        completions: VecDeque<TimeMs>,
     }
 }
 
 state! {
-    /// The last report of a target's load.
+    /// The last load report of a target.
     #[derive(Copy)]
-    struct Reported {
+    struct LoadReport {
         total: u32,
-        /// When it was made.
-        at: TimeMs,
-        heard_at: TimeMs,
+        /// When the target made the report.
+        measured_at: TimeMs,
+        received_at: TimeMs,
     }
 
-    /// What is usual among the targets of a class.
+    /// Average load of the targets of a class.
     #[derive(Copy)]
-    pub(crate) struct Usual {
-        /// Part of a target's slots that is taken.
-        pub(crate) fill: f64,
+    pub(crate) struct ClassAverage {
+        /// Fraction of a target's slots in use.
+        pub(crate) utilisation: f64,
         /// Time of a request in a slot, in milliseconds.
         pub(crate) request_ms: f64,
     }
 }
 
-/// Time between reports supposed before any was seen, in milliseconds.
-const REPORT_INTERVAL_MS: f64 = 1_000.0;
+/// Assumed time between reports until the first two are received.
+const INITIAL_REPORT_INTERVAL_MS: f64 = 1_000.0;
 
-/// Usual times between reports after which a target counts as silent, and the least such time.
+/// A target is silent after this many report intervals, and not before the minimum.
 ///
-/// Load: a paused VM all of whose slots are taken by streams. Harm: nothing more is sent there
-/// that could show the pause, and the streams stall until their deadlines. Limit: of six reports
-/// in a row not all are lost on the way; below three seconds a network that hesitates is enough.
-const SILENT_INTERVALS: f64 = 6.0;
-const SILENT_MIN_MS: f64 = 3_000.0;
+/// A paused VM whose slots are all in use receives no new requests that could fail there; only the
+/// missing reports show it.
+const SILENCE_TIMEOUT_INTERVALS: f64 = 6.0;
+const SILENCE_TIMEOUT_MIN_MS: f64 = 3_000.0;
 
 impl TargetState {
     pub(crate) fn new(class: ClassKey, profile: &TargetProfile) -> Self {
@@ -82,129 +79,143 @@
             in_flight: InFlight::default(),
             tickets: BTreeSet::new(),
             share: 0,
-            cap: 0,
+            slot_limit: 0,
             health: Health::new(),
             adapters: Vec::new(),
             prefill_tokens_queued: 0,
             silent_at: None,
-            report_interval_ms: Mean::new(REPORT_INTERVAL_MS),
-            reported: None,
+            report_interval_ms: Mean::new(INITIAL_REPORT_INTERVAL_MS),
+            last_report: None,
             sends: VecDeque::new(),
-            ends: VecDeque::new(),
+            completions: VecDeque::new(),
         }
     }
 
-    pub(crate) fn sent(&mut self, now: TimeMs, ticket: Ticket, expected: Expected) {
+    pub(crate) fn record_sent(&mut self, now: TimeMs, ticket: Ticket, estimate: AttemptEstimate) {
         self.tickets.insert(ticket);
-        self.in_flight.begin(expected);
-        remember(&mut self.sends, now);
+        self.in_flight.add(estimate);
+        push_bounded(&mut self.sends, now);
     }
 
-    pub(crate) fn ended(&mut self, now: TimeMs, ticket: Ticket, expected: Expected) {
+    pub(crate) fn record_completed(
+        &mut self,
+        now: TimeMs,
+        ticket: Ticket,
+        estimate: AttemptEstimate,
+    ) {
         self.tickets.remove(&ticket);
-        self.in_flight.end(expected);
-        remember(&mut self.ends, now);
+        self.in_flight.remove(estimate);
+        push_bounded(&mut self.completions, now);
     }
 
-    /// Takes over a report and forgets what it already shows; true total at that instant.
-    pub(crate) fn reported(&mut self, now: TimeMs, load: &TargetLoad) -> u32 {
-        let at = now.before(load.age_ms);
-        self.sends.retain(|&sent| sent > at);
-        self.ends.retain(|&ended| ended > at);
+    /// Applies a load report, drops own events that it already includes, and returns the reported
+    /// total.
+    pub(crate) fn apply_report(&mut self, now: TimeMs, load: &TargetLoad) -> u32 {
+        let measured_at = now.before(load.age_ms);
+        self.sends.retain(|&sent| sent > measured_at);
+        self.completions.retain(|&completed| completed > measured_at);
         let total = load.running + load.waiting;
-        if let Some(before) = self.reported.replace(Reported { total, heard_at: now, at }) {
-            self.report_interval_ms.add(now.since(before.heard_at) as f64);
+        if let Some(previous) =
+            self.last_report.replace(LoadReport { total, received_at: now, measured_at })
+        {
+            self.report_interval_ms.add(now.since(previous.received_at) as f64);
         }
         self.prefill_tokens_queued = load.prefill_tokens_queued;
         total
     }
 
-    /// Whether the target has this adapter in memory, or will before the request reaches it.
+    /// Whether the target has the adapter in memory, or will have it before a request needs it.
     pub(crate) fn has_adapter(&self, now: TimeMs, key: AdapterKey, load_ms: f64) -> bool {
-        let held = self.adapters.iter().find(|held| held.key == key);
-        held.is_some_and(|held| now.since(held.since) as f64 >= load_ms)
+        let adapter = self.adapters.iter().find(|adapter| adapter.key == key);
+        adapter.is_some_and(|adapter| now.since(adapter.since) as f64 >= load_ms)
     }
 
-    /// Counts on an adapter that a request just sent makes the target load.
+    /// Records that a request just sent makes the target load this adapter; returns whether it is
+    /// new.
     pub(crate) fn expect_adapter(&mut self, now: TimeMs, key: AdapterKey) -> bool {
-        let new = self.adapters.iter().all(|held| held.key != key);
+        let new = self.adapters.iter().all(|adapter| adapter.key != key);
         if new {
-            self.adapters.push(HeldAdapter { key, since: now });
+            self.adapters.push(LoadedAdapter { key, since: now });
         }
         new
     }
 
-    /// Takes over the adapters of a report, and keeps those expected since it was made.
-    pub(crate) fn report_adapters(&mut self, now: TimeMs, age_ms: u64, keys: &[AdapterKey]) {
-        let at = now.before(age_ms);
-        self.adapters.retain(|held| held.since >= at || keys.contains(&held.key));
+    /// Applies the adapters of a report; those expected since it was made stay.
+    pub(crate) fn apply_adapters(&mut self, now: TimeMs, age_ms: u64, keys: &[AdapterKey]) {
+        let measured_at = now.before(age_ms);
+        self.adapters.retain(|adapter| adapter.since >= measured_at || keys.contains(&adapter.key));
         for &key in keys {
             self.expect_adapter(TimeMs::new(0), key);
         }
     }
 
-    /// How long its reports may stay away.
-    pub(crate) fn silence_ms(&self) -> u64 {
-        (self.report_interval_ms.value() * SILENT_INTERVALS).max(SILENT_MIN_MS) as u64
+    /// Time without a report after which the target counts as silent.
+    pub(crate) fn silence_timeout_ms(&self) -> u64 {
+        (self.report_interval_ms.value() * SILENCE_TIMEOUT_INTERVALS).max(SILENCE_TIMEOUT_MIN_MS)
+            as u64
     }
 
-    /// Requests that this node sent since its last report was made.
+    /// Requests that this node sent since the last report was made.
     pub(crate) fn sends_since_report(&self) -> u32 {
         self.sends.len() as u32
     }
 
-    /// Requests at the target now: the last report plus own sends less own ends since, or what is
-    /// usual where that report is old.
+    /// Returns the estimated number of requests at the target.
     ///
-    /// Load: many nodes before many targets, so that a node hears of each every few seconds. Harm: a
-    /// target that was full when it was heard of last counts as full until it is heard of again,
-    /// which never happens, since nothing is sent there; and one that has just come counts as empty
-    /// for every node at once. Limit: a report fades within the time that a request takes, since by
-    /// then other requests run there than those it told of. Without `usual` it holds until the next.
-    pub(crate) fn load(&self, now: TimeMs, usual: Option<Usual>) -> f64 {
-        let told = self.reported.map(|reported| {
-            let since = self.sends.len() as f64 - self.ends.len() as f64;
-            (f64::from(reported.total) + since).max(0.0)
+    /// The last report plus own sends less own completions since. With `average`, an old report
+    /// decays towards it within the time of a request: a target last reported as full receives no
+    /// requests and therefore sends no further reports, and would count as full until the process
+    /// ends.
+    pub(crate) fn load(&self, now: TimeMs, average: Option<ClassAverage>) -> f64 {
+        let reported = self.last_report.map(|report| {
+            let own_change = self.sends.len() as f64 - self.completions.len() as f64;
+            (f64::from(report.total) + own_change).max(0.0)
         });
-        let load = match usual {
-            Some(usual) => self.faded(now, told, usual),
-            None => told.unwrap_or(self.sends.len() as f64 - self.ends.len() as f64),
+        let load = match average {
+            Some(average) => self.blend_with_average(now, reported, average),
+            None => reported.unwrap_or(self.sends.len() as f64 - self.completions.len() as f64),
         };
         load.max(f64::from(self.in_flight.count))
     }
 
-    fn faded(&self, now: TimeMs, told: Option<f64>, usual: Usual) -> f64 {
-        let usual_load = usual.fill * f64::from(self.slots);
-        let (Some(told), Some(reported)) = (told, self.reported) else { return usual_load };
-        let age = now.since(reported.at) as f64 / usual.request_ms.max(1.0);
+    fn blend_with_average(&self, now: TimeMs, load: Option<f64>, average: ClassAverage) -> f64 {
+        let average_load = average.utilisation * f64::from(self.slots);
+        let (Some(load), Some(report)) = (load, self.last_report) else { return average_load };
+        let age = now.since(report.measured_at) as f64 / average.request_ms.max(1.0);
         let weight = (-age).exp();
-        told * weight + usual_load * (1.0 - weight)
+        load * weight + average_load * (1.0 - weight)
     }
 
-    /// Its load as a part of its slots.
-    pub(crate) fn fill(&self, now: TimeMs, usual: Option<Usual>) -> f64 {
-        self.load(now, usual) / f64::from(self.slots.max(1))
+    /// The load as a fraction of the slots.
+    pub(crate) fn utilisation(&self, now: TimeMs, average: Option<ClassAverage>) -> f64 {
+        self.load(now, average) / f64::from(self.slots.max(1))
     }
 
-    pub(crate) fn may_take(&self, now: TimeMs, sharing: Sharing, usual: Option<Usual>) -> bool {
-        let is_full = || self.load(now, usual) >= f64::from(self.slots);
-        let room = match sharing {
+    pub(crate) fn can_accept(
+        &self,
+        now: TimeMs,
+        sharing: Sharing,
+        average: Option<ClassAverage>,
+    ) -> bool {
+        let is_full = || self.load(now, average) >= f64::from(self.slots);
+        let has_capacity = match sharing {
             Sharing::Shares | Sharing::Owner { .. } => self.in_flight.count < self.share,
             Sharing::Sampling | Sharing::Pooled => !is_full(),
             Sharing::Borrowing => {
-                self.in_flight.count < self.share || (self.in_flight.count < self.cap && !is_full())
+                self.in_flight.count < self.share
+                    || (self.in_flight.count < self.slot_limit && !is_full())
             }
         };
-        match self.health.standing {
-            Standing::Healthy => self.up && room,
-            Standing::Ejected { .. } => false,
-            Standing::Probing => self.up && room && self.in_flight.count == 0,
+        match self.health.state {
+            HealthState::Healthy => self.up && has_capacity,
+            HealthState::Ejected { .. } => false,
+            HealthState::Probing => self.up && has_capacity && self.in_flight.count == 0,
         }
     }
 }
 
-fn remember(times: &mut VecDeque<TimeMs>, now: TimeMs) {
-    if times.len() == SINCE_REPORT_MAX {
+fn push_bounded(times: &mut VecDeque<TimeMs>, now: TimeMs) {
+    if times.len() == EVENTS_SINCE_REPORT_MAX {
         times.pop_front();
     }
     times.push_back(now);
--- a/crates/policy/tests/fair_prefixes.rs
+++ b/crates/policy/tests/fair_prefixes.rs
@@ -1,11 +1,11 @@
-//! Requests go where their prefix is held, also when every slot is in use.
+//! Requests are sent to targets that cache their prefix, also when every slot is in use.
 
-mod toy;
+mod simulator;
 
 use celeryhaven_types::RequestHead;
-use toy::{Toy, head};
+use simulator::{Simulator, head};
 
-/// A request whose prompt is nearly all one of a few prefixes.
+/// Returns a request whose prompt consists mostly of this prefix.
 fn with_prefix(prefix: u64) -> RequestHead {
     RequestHead {
         prompt_tokens: 4_096,
@@ -15,52 +15,51 @@
 }
 
 #[test]
-fn prefix_known_goes_where_it_is_held() {
-    let mut toy = Toy::new(8, 4);
+fn prefix_indexed_is_sent_to_its_target() {
+    let mut sim = Simulator::new(8, 4);
     for ticket in 0..8 {
-        toy.ask(ticket, &with_prefix(ticket));
-        toy.run_until(toy.now_ms + 1_000);
+        sim.submit(ticket, &with_prefix(ticket));
+        sim.run_until(sim.now_ms + 1_000);
     }
     for ticket in 10..18 {
-        toy.ask(ticket, &with_prefix(ticket - 10));
-        toy.run_until(toy.now_ms + 1_000);
-        assert_eq!(toy.dispatched[&ticket], toy.dispatched[&(ticket - 10)]);
+        sim.submit(ticket, &with_prefix(ticket - 10));
+        sim.run_until(sim.now_ms + 1_000);
+        assert_eq!(sim.dispatched[&ticket], sim.dispatched[&(ticket - 10)]);
     }
 }
 
 #[test]
-fn prefix_of_a_restarted_target_is_forgotten() {
-    let mut toy = Toy::new(2, 4);
-    toy.ask(0, &with_prefix(1));
-    toy.run_until(2_000);
-    let holder = toy.dispatched[&0][0];
-    toy.down(holder);
-    toy.up(holder, 4);
+fn prefix_of_restarted_target_is_removed() {
+    let mut sim = Simulator::new(2, 4);
+    sim.submit(0, &with_prefix(1));
+    sim.run_until(2_000);
+    let target = sim.dispatched[&0][0];
+    sim.target_down(target);
+    sim.target_up(target, 4);
     let targets: std::collections::BTreeSet<_> = (1..20)
         .map(|ticket| {
-            toy.ask(ticket, &with_prefix(100 + ticket));
-            toy.run_until(toy.now_ms + 2_000);
-            toy.dispatched[&ticket][0]
+            sim.submit(ticket, &with_prefix(100 + ticket));
+            sim.run_until(sim.now_ms + 2_000);
+            sim.dispatched[&ticket][0]
         })
         .collect();
     assert_eq!(targets.len(), 2);
 }
 
 #[test]
-fn free_slot_takes_a_waiting_request_whose_prefix_it_holds() {
-    // Every slot is in use and prompts are nearly all prefix. A target becomes free: in strict
-    // order the next request goes there and computes its long prompt anew, while the one after it
-    // would have found its own there.
-    let mut toy = Toy::new(2, 1);
-    toy.ask(0, &with_prefix(7));
-    toy.ask(1, &with_prefix(8));
+fn free_slot_receives_waiting_request_with_cached_prefix() {
+    // All slots are in use. A target that becomes free must receive the waiting request whose
+    // prefix it caches, not the next one in strict order.
+    let mut sim = Simulator::new(2, 1);
+    sim.submit(0, &with_prefix(7));
+    sim.submit(1, &with_prefix(8));
     for ticket in 2..10 {
-        toy.ask(ticket, &with_prefix(if ticket < 6 { 8 } else { 7 }));
+        sim.submit(ticket, &with_prefix(if ticket < 6 { 8 } else { 7 }));
     }
-    toy.run_until(30_000);
-    toy.assert_all_ended();
-    let at_home = (2..10)
-        .filter(|ticket| toy.dispatched[ticket] == toy.dispatched[&u64::from(*ticket < 6)])
+    sim.run_until(30_000);
+    sim.assert_all_finished();
+    let cached = (2..10)
+        .filter(|ticket| sim.dispatched[ticket] == sim.dispatched[&u64::from(*ticket < 6)])
         .count();
-    assert!(at_home >= 7, "{at_home} of 8");
+    assert!(cached >= 7, "{cached} of 8");
 }
--- a/crates/policy/tests/loaded/mod.rs
+++ b/crates/policy/tests/loaded_policy/mod.rs
@@ -1,4 +1,4 @@
-//! A policy with many targets and many requests waiting, for the cost of one decision.
+//! A policy with many targets and many waiting requests, for the cost of one decision.
 #![allow(dead_code)]
 
 use celeryhaven_policy::{
@@ -10,80 +10,80 @@
     TimeMs,
 };
 
-/// Slots of one target that this node may use.
+/// Slots of each target.
 const SLOTS: u32 = 2;
 
-/// Organisations that the waiting requests belong to.
+/// Organisations of the waiting requests.
 const ORGANISATIONS: u64 = 10;
 
-/// Far enough ahead that no request here is refused for it.
-const LONG_MS: u64 = 100_000_000;
+/// A deadline that no request misses.
+const LONG_DEADLINE_MS: u64 = 100_000_000;
 
-/// One entry node's policy under load.
-pub struct Loaded {
+/// The policy of one entry node under load.
+pub struct LoadedPolicy {
     pub policy: FairPolicy,
     now: TimeMs,
-    next: u64,
+    next_id: u64,
     out: Vec<Decision>,
 }
 
-impl Loaded {
-    /// So many targets, all slots in use, and so many requests waiting.
+impl LoadedPolicy {
+    /// Creates targets whose slots are all in use, with this many waiting requests.
     pub fn full(targets: u32, queued: u64) -> Self {
         let mut loaded = Self::idle(targets);
         for _ in 0..u64::from(targets * SLOTS) + queued {
-            loaded.arrive(LONG_MS);
+            loaded.submit(LONG_DEADLINE_MS);
         }
         assert_eq!(loaded.policy.queued() as u64, queued);
         loaded
     }
 
-    /// So many targets with nothing to do.
+    /// Creates targets without requests.
     pub fn idle(targets: u32) -> Self {
         let settings = FairSettings::new(5).with_queue_entries_max(20_000);
         let mut loaded = Self {
             policy: FairPolicy::new(settings),
             now: TimeMs::new(1_000),
-            next: 0,
+            next_id: 0,
             out: Vec::new(),
         };
         let serves = class();
         for target in 0..targets {
             let profile = TargetProfile { serves: serves.clone(), slots: SLOTS, distance_us: 500 };
-            loaded.tell(PolicyEvent::TargetUp { target: TargetKey::new(target), profile });
+            loaded.send_event(PolicyEvent::TargetUp { target: TargetKey::new(target), profile });
         }
         loaded
     }
 
-    /// A request arrives; the decisions about it.
-    pub fn arrive(&mut self, deadline_in_ms: u64) -> (Ticket, Vec<Decision>) {
-        self.next += 1;
-        let ticket = Ticket::new(self.next);
-        let head = head(self.next, deadline_in_ms + self.next * 617 % 1_000 * 10);
-        (ticket, self.tell(PolicyEvent::Arrived { ticket, head: &head }))
+    /// Sends a request to the policy and returns the decisions.
+    pub fn submit(&mut self, deadline_in_ms: u64) -> (Ticket, Vec<Decision>) {
+        self.next_id += 1;
+        let ticket = Ticket::new(self.next_id);
+        let head = head(self.next_id, deadline_in_ms + self.next_id * 617 % 1_000 * 10);
+        (ticket, self.send_event(PolicyEvent::Arrived { ticket, head: &head }))
     }
 
-    /// Sends one request to a target and takes its answer; the pick is what costs.
+    /// Dispatches a request and completes it.
     pub fn pick(&mut self) {
-        let (ticket, decisions) = self.arrive(LONG_MS);
+        let (ticket, decisions) = self.submit(LONG_DEADLINE_MS);
         assert!(matches!(decisions.as_slice(), [Decision::Dispatch { .. }]), "{decisions:?}");
-        self.tell(PolicyEvent::Finished { ticket, output_tokens: 100 });
+        self.send_event(PolicyEvent::Finished { ticket, output_tokens: 100 });
     }
 
-    /// Admits one request to the queue, and takes it out again.
+    /// Queues a request and removes it again.
     pub fn admit(&mut self) {
-        let (ticket, decisions) = self.arrive(LONG_MS);
+        let (ticket, decisions) = self.submit(LONG_DEADLINE_MS);
         assert!(decisions.is_empty(), "{decisions:?}");
-        self.tell(PolicyEvent::CallerGone { ticket });
+        self.send_event(PolicyEvent::CallerGone { ticket });
     }
 
-    /// Refuses one request on arrival.
+    /// Refuses a request on arrival.
     pub fn refuse(&mut self) {
-        let (_, decisions) = self.arrive(1);
+        let (_, decisions) = self.submit(1);
         assert!(matches!(decisions.as_slice(), [Decision::Refuse { .. }]), "{decisions:?}");
     }
 
-    fn tell(&mut self, event: PolicyEvent<'_>) -> Vec<Decision> {
+    fn send_event(&mut self, event: PolicyEvent<'_>) -> Vec<Decision> {
         self.policy.handle(self.now, event, &mut self.out);
         std::mem::take(&mut self.out)
     }
