--- a/crates/queue/src/error.rs
+++ b/crates/queue/src/error.rs
@@ -1,9 +1,9 @@
 use snafu::Snafu;
 
-/// The queue holds as many entries as it may.
+/// The queue has reached its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the queue holds its {limit} entries: refuse the request or raise the limit"))]
+#[snafu(display("queue is full at {limit} entries: refuse the request or raise the limit"))]
 pub struct QueueFull {
-    /// The limit that was met.
+    /// Maximum number of entries.
     pub limit: usize,
 }
--- a/crates/queue/src/fair_queue.rs
+++ b/crates/queue/src/fair_queue.rs
@@ -5,19 +5,18 @@
 use crate::flow::Flow;
 use crate::{FlowKey, QueueFull, Waiting};
 
-/// Virtual time that one millisecond of cost takes at weight one.
-const VIRTUAL_SCALE: u64 = 1_000;
+/// Virtual time of one millisecond of cost at weight one.
+const VIRTUAL_TIME_PER_MS: u64 = 1_000;
 
 /// Weighted fair queue of keys, bounded and work-conserving.
 ///
-/// Load: one organisation asks for far more than its share. Harm: in arrival order it would take
-/// every slot and the others' answers would be late. Each flow therefore has a virtual start that
-/// moves on by cost over weight with each entry taken (start-time fair queueing), and the flow
-/// that is furthest behind goes next. A flow that was idle starts at the current virtual time: it
-/// neither saves up service nor pays for what others took.
+/// Implements start-time fair queueing: each flow has a virtual start time that advances by cost
+/// over weight with each entry taken, and the flow with the least one is served next. No flow can
+/// delay the others by sending more than its share. A flow that becomes active starts at the
+/// current virtual time: it neither saves up service while idle nor pays for that of others.
 ///
-/// All operations cost the logarithm of the length, but for
-/// [`cost_ahead_ms`](Self::cost_ahead_ms), which visits a bounded number of steps.
+/// All operations take logarithmic time, except [`cost_ahead_ms`](Self::cost_ahead_ms), which
+/// visits a bounded number of histogram buckets.
 ///
 /// ```
 /// use celeryhaven_queue::{FairQueue, FlowKey, Waiting};
@@ -50,7 +49,7 @@
 }
 
 impl<K: Copy + Ord + std::hash::Hash> FairQueue<K> {
-    /// An empty queue of at most `limit` entries.
+    /// Creates an empty queue of at most `limit` entries.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -66,9 +65,9 @@
         }
     }
 
-    /// Sets the share of a flow; zero counts as one.
+    /// Sets the weight of a flow; zero counts as one.
     pub fn set_weight(&mut self, flow: FlowKey, weight: u32) {
-        self.ensure(flow);
+        self.ensure_flow(flow);
         let weight = u64::from(weight.max(1));
         let state = &mut self.flows[flow.get() as usize];
         if !state.is_empty() {
@@ -77,30 +76,29 @@
         state.weight = weight;
     }
 
-    /// Adds an entry, unless the queue is full.
+    /// Adds an entry, or replaces the one with the same key.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`] at the limit. Load: more arrivals than memory should hold. Harm: a process
-    /// that grows until it dies loses every request it has.
-    pub fn push(&mut self, key: K, waiting: Waiting) -> Result<(), QueueFull> {
+    /// Returns [`QueueFull`] if the queue has reached its limit.
+    pub fn push(&mut self, key: K, entry: Waiting) -> Result<(), QueueFull> {
         if self.entries.len() >= self.limit {
             return Err(QueueFull { limit: self.limit });
         }
-        self.ensure(waiting.flow);
+        self.ensure_flow(entry.flow);
         self.remove(key);
-        let flow = &mut self.flows[waiting.flow.get() as usize];
+        let flow = &mut self.flows[entry.flow.get() as usize];
         if flow.is_empty() {
             flow.virtual_start = flow.virtual_start.max(self.virtual_now);
-            self.active.insert((flow.virtual_start, waiting.flow));
+            self.active.insert((flow.virtual_start, entry.flow));
             self.active_weight += flow.weight;
-            flow.taken_before_ms = self.taken_ms;
-            flow.taken_own_ms = 0;
+            flow.served_before_ms = self.taken_ms;
+            flow.served_own_ms = 0;
         }
-        flow.insert(key, &waiting);
-        self.overdue.insert((waiting.latest_start, key));
-        self.cost_ms += waiting.cost_ms;
-        self.entries.insert(key, waiting);
+        flow.insert(key, &entry);
+        self.overdue.insert((entry.latest_start, key));
+        self.cost_ms += entry.cost_ms;
+        self.entries.insert(key, entry);
         self.visits += 1;
         Ok(())
     }
@@ -109,100 +107,100 @@
     pub fn pop(&mut self) -> Option<(K, Waiting)> {
         let &(_, flow) = self.active.first()?;
         let key = self.flows[flow.get() as usize].first()?;
-        self.take(key).map(|waiting| (key, waiting))
+        self.take(key).map(|entry| (key, entry))
     }
 
-    /// The next entries of the flow that is furthest behind its share, at most `count`.
+    /// Returns at most `count` next entries of the flow that is furthest behind its share.
     pub fn next_few(&mut self, count: usize) -> Vec<(K, Waiting)> {
         let Some(&(_, flow)) = self.active.first() else { return Vec::new() };
-        let keys = self.flows[flow.get() as usize].firsts(count);
-        let few: Vec<_> =
-            keys.filter_map(|key| self.entries.get(&key).map(|waiting| (key, *waiting))).collect();
-        self.visits += few.len() as u64;
-        few
+        let keys = self.flows[flow.get() as usize].first_entries(count);
+        let entries: Vec<_> =
+            keys.filter_map(|key| self.entries.get(&key).map(|entry| (key, *entry))).collect();
+        self.visits += entries.len() as u64;
+        entries
     }
 
-    /// Takes an entry for service and charges its flow.
+    /// Removes an entry for service and charges its flow.
     pub fn take(&mut self, key: K) -> Option<Waiting> {
-        let waiting = self.remove(key)?;
-        let flow = &mut self.flows[waiting.flow.get() as usize];
+        let entry = self.remove(key)?;
+        let flow = &mut self.flows[entry.flow.get() as usize];
         self.virtual_now = self.virtual_now.max(flow.virtual_start);
-        flow.taken_own_ms += waiting.cost_ms;
-        self.taken_ms += waiting.cost_ms;
-        self.charge(waiting.flow, waiting.cost_ms);
-        Some(waiting)
+        flow.served_own_ms += entry.cost_ms;
+        self.taken_ms += entry.cost_ms;
+        self.charge(entry.flow, entry.cost_ms);
+        Some(entry)
     }
 
-    /// Takes one entry out, wherever it stands.
+    /// Removes an entry without charging its flow.
     pub fn remove(&mut self, key: K) -> Option<Waiting> {
-        let waiting = self.entries.remove(&key)?;
-        let flow = &mut self.flows[waiting.flow.get() as usize];
-        flow.remove(key, &waiting);
-        self.overdue.remove(&(waiting.latest_start, key));
-        self.cost_ms -= waiting.cost_ms;
+        let entry = self.entries.remove(&key)?;
+        let flow = &mut self.flows[entry.flow.get() as usize];
+        flow.remove(key, &entry);
+        self.overdue.remove(&(entry.latest_start, key));
+        self.cost_ms -= entry.cost_ms;
         if flow.is_empty() {
-            self.active.remove(&(flow.virtual_start, waiting.flow));
+            self.active.remove(&(flow.virtual_start, entry.flow));
             self.active_weight -= flow.weight;
         }
         self.visits += 1;
-        Some(waiting)
+        Some(entry)
     }
 
-    /// Counts service that a flow got beyond what [`pop`](Self::pop) charged it.
+    /// Charges a flow for service beyond what [`take`](Self::take) charged.
     ///
-    /// Harm without it: an organisation whose requests run longer than expected gets more than
-    /// its share for as long as the estimate is wrong.
+    /// Used when requests run longer than estimated, which would otherwise exceed the share of the
+    /// flow.
     pub fn charge(&mut self, flow_key: FlowKey, cost_ms: u64) {
-        self.ensure(flow_key);
+        self.ensure_flow(flow_key);
         let flow = &mut self.flows[flow_key.get() as usize];
         let was_active = self.active.remove(&(flow.virtual_start, flow_key));
-        let step = cost_ms.saturating_mul(VIRTUAL_SCALE) / flow.weight;
+        let step = cost_ms.saturating_mul(VIRTUAL_TIME_PER_MS) / flow.weight;
         flow.virtual_start = flow.virtual_start.max(self.virtual_now).saturating_add(step);
         if was_active {
             self.active.insert((flow.virtual_start, flow_key));
         }
     }
 
-    /// Takes out one entry whose latest start has passed.
+    /// Removes one entry whose latest start has passed.
     pub fn pop_overdue(&mut self, now: TimeMs) -> Option<(K, Waiting)> {
         let &(latest_start, key) = self.overdue.first()?;
         if latest_start >= now {
             return None;
         }
-        self.remove(key).map(|waiting| (key, waiting))
+        self.remove(key).map(|entry| (key, entry))
     }
 
-    /// The entry of a flow that is served last.
+    /// Returns the entry of a flow that is served last.
     pub fn last_of(&self, flow: FlowKey) -> Option<(K, Waiting)> {
         let key = self.flows.get(flow.get() as usize)?.last()?;
-        self.entries.get(&key).map(|waiting| (key, *waiting))
+        self.entries.get(&key).map(|entry| (key, *entry))
     }
 
-    /// The entry of a flow whose worth for its cost is least.
+    /// Returns the entry of a flow with the least worth per cost.
     pub fn least_dense(&self, flow: FlowKey) -> Option<(K, Waiting)> {
-        let (_, key) = self.flows.get(flow.get() as usize)?.least_dense()?;
-        self.entries.get(&key).map(|waiting| (key, *waiting))
+        let (_, key) = self.flows.get(flow.get() as usize)?.lowest_density()?;
+        self.entries.get(&key).map(|entry| (key, *entry))
     }
 
-    /// Expected slot time of what this flow serves before such an entry.
-    pub fn cost_ahead_ms(&mut self, waiting: &Waiting) -> u64 {
-        let Some(flow) = self.flows.get(waiting.flow.get() as usize) else { return 0 };
-        let (ahead_ms, visits) = flow.cost_ahead_ms(waiting);
+    /// Returns the cost that this flow serves before such an entry.
+    pub fn cost_ahead_ms(&mut self, entry: &Waiting) -> u64 {
+        let Some(flow) = self.flows.get(entry.flow.get() as usize) else { return 0 };
+        let (ahead_ms, visits) = flow.cost_ahead_ms(entry);
         self.visits += visits;
         ahead_ms
     }
 
-    /// Expected slot time of everything queued.
+    /// Total cost of all entries, in milliseconds.
     pub fn cost_ms(&self) -> u64 {
         self.cost_ms
     }
 
-    /// Expected slot time of one flow's entries.
+    /// Total cost of the entries of a flow, in milliseconds.
     pub fn flow_cost_ms(&self, flow: FlowKey) -> u64 {
         self.flows.get(flow.get() as usize).map_or(0, |flow| flow.cost_ms)
     }
 
-    /// Share of service that this flow gets while all flows that wait now go on waiting.
+    /// Returns the nominal share of a flow while all active flows stay active.
     pub fn share(&self, flow: FlowKey) -> f64 {
         let Some(state) = self.flows.get(flow.get() as usize) else { return 1.0 };
         let others =
@@ -210,18 +208,18 @@
         state.weight as f64 / others as f64
     }
 
-    /// Cost taken from this flow, and from all flows, since it last began to wait.
+    /// Returns the cost served from this flow, and from all flows, since this flow became active.
     ///
-    /// Together they tell which part of service it really gets, which its weight alone does not:
-    /// others come and go.
+    /// The quotient is the observed share of the flow, which differs from [`share`](Self::share)
+    /// when other flows come and go. Both are zero for an idle flow.
     pub fn taken_ms(&self, flow: FlowKey) -> (u64, u64) {
         self.flows
             .get(flow.get() as usize)
             .filter(|state| !state.is_empty())
-            .map_or((0, 0), |state| (state.taken_own_ms, self.taken_ms - state.taken_before_ms))
+            .map_or((0, 0), |state| (state.served_own_ms, self.taken_ms - state.served_before_ms))
     }
 
-    /// Flows that have entries, in order of their virtual starts.
+    /// Flows that have entries, in order of their virtual start times.
     pub fn active_flows(&self) -> impl Iterator<Item = FlowKey> {
         self.active.iter().map(|&(_, flow)| flow)
     }
@@ -231,30 +229,30 @@
         self.entries.len()
     }
 
-    /// Number of entries of one flow.
+    /// Number of entries of a flow.
     pub fn flow_len(&self, flow: FlowKey) -> usize {
         self.flows.get(flow.get() as usize).map_or(0, Flow::len)
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What the queue knows of an entry.
+    /// Returns the entry with this key.
     pub fn get(&self, key: K) -> Option<&Waiting> {
         self.entries.get(&key)
     }
 
-    /// Entries and profile steps visited since the queue was made; bounds in tests rest on it.
+    /// Returns the number of entries and histogram buckets visited since the queue was created.
     pub fn visits(&self) -> u64 {
         self.visits
     }
 
-    fn ensure(&mut self, flow: FlowKey) {
-        let wanted = flow.get() as usize + 1;
-        if self.flows.len() < wanted {
-            self.flows.resize_with(wanted, Flow::new);
+    fn ensure_flow(&mut self, flow: FlowKey) {
+        let flow_count = flow.get() as usize + 1;
+        if self.flows.len() < flow_count {
+            self.flows.resize_with(flow_count, Flow::new);
         }
     }
 }
--- a/crates/queue/src/flow.rs
+++ b/crates/queue/src/flow.rs
@@ -5,35 +5,28 @@
 use crate::Waiting;
 
 number! {
-    /// Identifies one flow of a queue.
+    /// Identifies a flow of a queue.
     FlowKey(u32)
 }
 
-/// Width of one step of the cost profile.
-///
-/// Load: thousands queued in one flow. Harm: summing them for each arrival costs more the longer
-/// the queue is, just when there is no time for it. Limit: within half a second the order of
-/// starts does not change whether a request can be in time.
-const PROFILE_STEP_MS: u64 = 500;
+/// Width of a bucket of the cost histogram, in milliseconds.
+const COST_BUCKET_MS: u64 = 500;
 
-/// Steps looked at before the rest of the profile is taken as ahead.
-///
-/// Load: deadlines far ahead. Harm: a walk over many steps. Limit: 128 steps are about a minute,
-/// longer than any useful wait here; beyond it the estimate errs towards refusing.
-const PROFILE_STEPS_MAX: usize = 128;
+/// Buckets visited before all entries of the flow are counted as ahead.
+const COST_BUCKETS_VISITED_MAX: usize = 128;
 
-/// Entries of one flow in order of rank.
+/// The entries of one flow, ordered by sort key.
 #[derive(Clone, Debug)]
 pub(crate) struct Flow<K> {
     pub(crate) weight: u64,
     pub(crate) virtual_start: u64,
     pub(crate) cost_ms: u64,
-    /// Cost taken from the queue when this flow last began to wait, and of its own since.
-    pub(crate) taken_before_ms: u64,
-    pub(crate) taken_own_ms: u64,
-    by_rank: BTreeSet<(u64, K)>,
+    /// Cost served by the queue when this flow became active, and from this flow since.
+    pub(crate) served_before_ms: u64,
+    pub(crate) served_own_ms: u64,
+    by_sort_key: BTreeSet<(u64, K)>,
     by_density: BTreeSet<(u64, K)>,
-    profile: BTreeMap<u64, u64>,
+    cost_histogram: BTreeMap<u64, u64>,
 }
 
 impl<K: Copy + Ord> Flow<K> {
@@ -42,67 +35,69 @@
             weight: 1,
             virtual_start: 0,
             cost_ms: 0,
-            taken_before_ms: 0,
-            taken_own_ms: 0,
-            by_rank: BTreeSet::new(),
+            served_before_ms: 0,
+            served_own_ms: 0,
+            by_sort_key: BTreeSet::new(),
             by_density: BTreeSet::new(),
-            profile: BTreeMap::new(),
+            cost_histogram: BTreeMap::new(),
         }
     }
 
-    pub(crate) fn insert(&mut self, key: K, waiting: &Waiting) {
-        self.by_rank.insert((waiting.rank(), key));
-        self.by_density.insert((waiting.density(), key));
-        self.cost_ms += waiting.cost_ms;
-        *self.profile.entry(step(waiting)).or_insert(0) += waiting.cost_ms;
+    pub(crate) fn insert(&mut self, key: K, entry: &Waiting) {
+        self.by_sort_key.insert((entry.sort_key(), key));
+        self.by_density.insert((entry.density(), key));
+        self.cost_ms += entry.cost_ms;
+        *self.cost_histogram.entry(bucket(entry)).or_insert(0) += entry.cost_ms;
     }
 
-    pub(crate) fn remove(&mut self, key: K, waiting: &Waiting) {
-        self.by_rank.remove(&(waiting.rank(), key));
-        self.by_density.remove(&(waiting.density(), key));
-        self.cost_ms -= waiting.cost_ms;
-        if let Some(cost_ms) = self.profile.get_mut(&step(waiting)) {
-            *cost_ms -= waiting.cost_ms;
+    pub(crate) fn remove(&mut self, key: K, entry: &Waiting) {
+        self.by_sort_key.remove(&(entry.sort_key(), key));
+        self.by_density.remove(&(entry.density(), key));
+        self.cost_ms -= entry.cost_ms;
+        if let Some(cost_ms) = self.cost_histogram.get_mut(&bucket(entry)) {
+            *cost_ms -= entry.cost_ms;
             if *cost_ms == 0 {
-                self.profile.remove(&step(waiting));
+                self.cost_histogram.remove(&bucket(entry));
             }
         }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.by_rank.is_empty()
+        self.by_sort_key.is_empty()
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.by_rank.len()
+        self.by_sort_key.len()
     }
 
     pub(crate) fn first(&self) -> Option<K> {
-        self.by_rank.first().map(|&(_, key)| key)
+        self.by_sort_key.first().map(|&(_, key)| key)
     }
 
-    pub(crate) fn firsts(&self, count: usize) -> impl Iterator<Item = K> {
-        self.by_rank.iter().take(count).map(|&(_, key)| key)
+    pub(crate) fn first_entries(&self, count: usize) -> impl Iterator<Item = K> {
+        self.by_sort_key.iter().take(count).map(|&(_, key)| key)
     }
 
     pub(crate) fn last(&self) -> Option<K> {
-        self.by_rank.last().map(|&(_, key)| key)
+        self.by_sort_key.last().map(|&(_, key)| key)
     }
 
-    pub(crate) fn least_dense(&self) -> Option<(u64, K)> {
+    pub(crate) fn lowest_density(&self) -> Option<(u64, K)> {
         self.by_density.first().copied()
     }
 
-    /// Cost that goes before an entry of this rank, and the steps visited to sum it.
-    pub(crate) fn cost_ahead_ms(&self, waiting: &Waiting) -> (u64, u64) {
-        let last_step = step(waiting);
+    /// Returns the cost ahead of an entry, and the number of buckets visited.
+    pub(crate) fn cost_ahead_ms(&self, entry: &Waiting) -> (u64, u64) {
+        let last_bucket = bucket(entry);
         let mut ahead_ms = 0;
         let mut visits = 0;
-        for (_, &cost_ms) in self.profile.range(..=last_step).take(PROFILE_STEPS_MAX) {
+        for (_, &cost_ms) in
+            self.cost_histogram.range(..=last_bucket).take(COST_BUCKETS_VISITED_MAX)
+        {
             ahead_ms += cost_ms;
             visits += 1;
         }
-        if visits as usize == PROFILE_STEPS_MAX {
+        if visits as usize == COST_BUCKETS_VISITED_MAX {
             (self.cost_ms, visits)
         } else {
             (ahead_ms, visits)
@@ -110,6 +105,6 @@
     }
 }
 
-fn step(waiting: &Waiting) -> u64 {
-    waiting.rank() / PROFILE_STEP_MS
+fn bucket(entry: &Waiting) -> u64 {
+    entry.sort_key() / COST_BUCKET_MS
 }
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,14 +1,14 @@
 //! Fair queue by organisation, worth and deadline, without I/O.
 //!
-//! - [`FairQueue`]: weighted fair queue; each flow is served in order of its latest starts.
-//! - [`Waiting`]: what the queue knows of one entry.
-//! - [`FlowKey`]: names one flow, such as an organisation.
-//! - [`QueueFull`]: why an entry was not taken.
+//! - [`FairQueue`]: weighted fair queue; each flow is served in order of latest start.
+//! - [`Waiting`]: the cost, deadline, priority and worth of an entry.
+//! - [`FlowKey`]: identifies a flow, such as an organisation.
+//! - [`QueueFull`]: returned if the queue has reached its limit.
 //!
 //! Source: P. Goyal, H. M. Vin, H. Cheng, "Start-time Fair Queuing", SIGCOMM 1996.
 //!
-//! How a flood of one organisation shares with another is shown by `examples/flood.rs`:
-//! `cargo run -p celeryhaven-queue --example flood`.
+//! The example `flood` shows how two organisations share the service: `cargo run -p
+//! celeryhaven-queue --example flood`.
 
 mod error;
 mod fair_queue;
--- a/crates/queue/tests/fair_queue.rs
+++ b/crates/queue/tests/fair_queue.rs
@@ -4,7 +4,7 @@
 use celeryhaven_types::{Priority, TimeMs};
 use quickcheck::{Arbitrary, Gen};
 
-fn waiting(flow: u32, cost_ms: u64, latest_start_ms: u64) -> Waiting {
+fn entry(flow: u32, cost_ms: u64, latest_start_ms: u64) -> Waiting {
     Waiting {
         flow: FlowKey::new(flow),
         cost_ms,
@@ -14,11 +14,11 @@
     }
 }
 
-fn filled(flows: u32, each: u64) -> FairQueue<u64> {
+fn filled(flows: u32, per_flow: u64) -> FairQueue<u64> {
     let mut queue = FairQueue::new(1_000_000);
-    for key in 0..u64::from(flows) * each {
+    for key in 0..u64::from(flows) * per_flow {
         let flow = (key % u64::from(flows)) as u32;
-        queue.push(key, waiting(flow, 100, 10_000 + key)).expect("room");
+        queue.push(key, entry(flow, 100, 10_000 + key)).expect("below limit");
     }
     queue
 }
@@ -26,8 +26,8 @@
 fn served_by_flow(queue: &mut FairQueue<u64>, count: usize, flows: usize) -> Vec<usize> {
     let mut served = vec![0; flows];
     for _ in 0..count {
-        let (_, waiting) = queue.pop().expect("entry");
-        served[waiting.flow.get() as usize] += 1;
+        let (_, entry) = queue.pop().expect("an entry");
+        served[entry.flow.get() as usize] += 1;
     }
     served
 }
@@ -41,28 +41,27 @@
 }
 
 #[test]
-fn pop_flood_costs_others_nothing() {
-    // One organisation sends a hundred times its share at once, another a few requests after it.
-    // In order of arrival the few would wait for all of the flood; here they go next.
+fn pop_flood_does_not_delay_others() {
+    // A flow with a long backlog must not delay the entries of another that become active later.
     let mut queue = FairQueue::new(10_000);
     for key in 0..5_000 {
-        queue.push(key, waiting(0, 100, 60_000)).unwrap();
+        queue.push(key, entry(0, 100, 60_000)).unwrap();
     }
     served_by_flow(&mut queue, 100, 2);
     for key in 10_000..10_010 {
-        queue.push(key, waiting(1, 100, 60_000)).unwrap();
+        queue.push(key, entry(1, 100, 60_000)).unwrap();
     }
     let served = served_by_flow(&mut queue, 20, 2);
     assert!(served[1] >= 9, "{served:?}");
 }
 
 #[test]
-fn pop_idle_flow_saves_nothing_up() {
-    // A flow that was idle for long comes back: it gets its share from now on, not all slots.
+fn pop_idle_flow_saves_no_service() {
+    // A flow that was idle must receive its share from now on, not all service.
     let mut queue = filled(1, 1_000);
     served_by_flow(&mut queue, 500, 2);
     for key in 10_000..10_400 {
-        queue.push(key, waiting(1, 100, 60_000)).unwrap();
+        queue.push(key, entry(1, 100, 60_000)).unwrap();
     }
     let served = served_by_flow(&mut queue, 200, 2);
     assert!((98..=102).contains(&served[0]), "{served:?}");
@@ -71,31 +70,31 @@
 #[test]
 fn pop_serves_latest_start_first_within_flow() {
     let mut queue = FairQueue::new(10);
-    queue.push(1, waiting(0, 100, 9_000)).unwrap();
-    queue.push(2, waiting(0, 100, 3_000)).unwrap();
+    queue.push(1, entry(0, 100, 9_000)).unwrap();
+    queue.push(2, entry(0, 100, 3_000)).unwrap();
     assert_eq!(queue.pop().unwrap().0, 2);
 }
 
 #[test]
 fn pop_low_priority_ages_past_later_urgent_work() {
-    // A steady stream of urgent work must not hold an old request back for good: rank is fixed at
-    // arrival, and urgent work that arrives later than its lead goes after it.
+    // A steady stream of urgent entries must not starve an old entry: later entries with later
+    // deadlines are served after it.
     let mut queue = FairQueue::new(100);
-    queue.push(0, waiting(0, 100, 10_000)).unwrap();
+    queue.push(0, entry(0, 100, 10_000)).unwrap();
     for key in 1..50 {
-        let urgent = Waiting { priority: Priority::new(1), ..waiting(0, 100, 10_000 + key * 500) };
+        let urgent = Waiting { priority: Priority::new(1), ..entry(0, 100, 10_000 + key * 500) };
         queue.push(key, urgent).unwrap();
     }
-    let place = (0..50).position(|_| queue.pop().unwrap().0 == 0).unwrap();
-    assert!(place <= 4, "served at place {place}");
+    let position = (0..50).position(|_| queue.pop().unwrap().0 == 0).unwrap();
+    assert!(position <= 4, "served at position {position}");
 }
 
 #[test]
 fn push_beyond_limit_is_refused() {
     let mut queue = FairQueue::new(2);
-    queue.push(1, waiting(0, 1, 1)).unwrap();
-    queue.push(2, waiting(0, 1, 1)).unwrap();
-    let full = queue.push(3, waiting(0, 1, 1)).unwrap_err();
+    queue.push(1, entry(0, 1, 1)).unwrap();
+    queue.push(2, entry(0, 1, 1)).unwrap();
+    let full = queue.push(3, entry(0, 1, 1)).unwrap_err();
     assert_eq!(full.limit, 2);
     assert_eq!(queue.len(), 2);
 }
@@ -103,15 +102,15 @@
 #[test]
 fn pop_overdue_takes_only_what_is_late() {
     let mut queue = FairQueue::new(10);
-    queue.push(1, waiting(0, 1, 100)).unwrap();
-    queue.push(2, waiting(1, 1, 300)).unwrap();
+    queue.push(1, entry(0, 1, 100)).unwrap();
+    queue.push(2, entry(1, 1, 300)).unwrap();
     assert_eq!(queue.pop_overdue(TimeMs::new(200)).map(|(key, _)| key), Some(1));
     assert_eq!(queue.pop_overdue(TimeMs::new(200)), None);
     assert_eq!(queue.len(), 1);
 }
 
 #[test]
-fn charge_takes_from_later_service() {
+fn charge_reduces_later_service() {
     let mut queue = filled(2, 100);
     queue.charge(FlowKey::new(0), 1_000);
     let served = served_by_flow(&mut queue, 10, 2);
@@ -138,42 +137,42 @@
 }
 
 #[test]
-fn steps_any_order_keep_sums_and_lose_nothing() {
+fn steps_any_order_keep_sums_and_entries() {
     for seed in 0..200 {
         let mut g = Gen::from_size_and_seed(200, seed);
         let steps = Vec::<Step>::arbitrary(&mut g);
         let mut queue = FairQueue::new(1_000);
-        let mut inside = std::collections::BTreeMap::new();
+        let mut expected = std::collections::BTreeMap::new();
         for (key, step) in (0_u64..).zip(steps) {
             match step {
                 Step::Push(flow, at) => {
-                    queue.push(key, waiting(flow, at + 1, at)).unwrap();
-                    inside.insert(key, at + 1);
+                    queue.push(key, entry(flow, at + 1, at)).unwrap();
+                    expected.insert(key, at + 1);
                 }
                 Step::Pop => {
                     let popped = queue.pop().map(|(key, _)| key);
-                    assert_eq!(popped.is_some(), !inside.is_empty());
-                    popped.map(|key| inside.remove(&key).unwrap());
+                    assert_eq!(popped.is_some(), !expected.is_empty());
+                    popped.map(|key| expected.remove(&key).unwrap());
                 }
                 Step::Remove(key) => {
-                    assert_eq!(queue.remove(key).is_some(), inside.remove(&key).is_some());
+                    assert_eq!(queue.remove(key).is_some(), expected.remove(&key).is_some());
                 }
                 Step::Overdue(now) => {
                     queue
                         .pop_overdue(TimeMs::new(now))
-                        .map(|(key, _)| inside.remove(&key).unwrap());
+                        .map(|(key, _)| expected.remove(&key).unwrap());
                 }
             }
-            assert_eq!(queue.len(), inside.len());
-            assert_eq!(queue.cost_ms(), inside.values().sum::<u64>());
+            assert_eq!(queue.len(), expected.len());
+            assert_eq!(queue.cost_ms(), expected.values().sum::<u64>());
         }
     }
 }
 
 #[test]
 fn pop_visits_do_not_grow_with_length() {
-    let visits = |each| {
-        let mut queue = filled(10, each);
+    let visits = |per_flow| {
+        let mut queue = filled(10, per_flow);
         let before = queue.visits();
         served_by_flow(&mut queue, 10, 10);
         queue.visits() - before
@@ -185,10 +184,10 @@
 fn cost_ahead_visits_are_bounded() {
     let mut queue = FairQueue::new(100_000);
     for key in 0..50_000 {
-        queue.push(key, waiting(0, 10, key * 20)).unwrap();
+        queue.push(key, entry(0, 10, key * 20)).unwrap();
     }
     let before = queue.visits();
-    assert_eq!(queue.cost_ahead_ms(&waiting(0, 10, 1_000_000)), 500_000);
+    assert_eq!(queue.cost_ahead_ms(&entry(0, 10, 1_000_000)), 500_000);
     assert!(queue.visits() - before <= 128);
 }
 
@@ -214,14 +213,14 @@
 
 #[test]
 fn push_and_pop_comparisons_grow_as_the_logarithm() {
-    // All entries rank alike, so every comparison inside the queue comes down to the keys.
+    // All sort keys are equal, so every comparison reaches the keys.
     let comparisons = |length: u64| {
         let mut queue = FairQueue::new(1_000_000);
-        (0..length).for_each(|key| queue.push(Counted(key), waiting(0, 1, 9)).expect("room"));
+        (0..length).for_each(|key| queue.push(Counted(key), entry(0, 1, 9)).expect("below limit"));
         COMPARISONS.set(0);
         for key in length..length + 100 {
-            queue.push(Counted(key), waiting(0, 1, 9)).expect("room");
-            queue.pop().expect("entry");
+            queue.push(Counted(key), entry(0, 1, 9)).expect("below limit");
+            queue.pop().expect("an entry");
         }
         COMPARISONS.get() / 100
     };
