--- a/crates/bench/src/world/attempts.rs
+++ b/crates/bench/src/world/attempts.rs
@@ -62,7 +62,7 @@
             Heard::Broken { verdict } => {
                 state.target = None;
                 state.first_at_us = None;
-                self.tell(entry, PolicyEvent::Broken { ticket, verdict });
+                self.tell(entry, PolicyEvent::AttemptFailed { ticket, verdict });
             }
         }
     }
--- a/crates/bench/src/world/callers.rs
+++ b/crates/bench/src/world/callers.rs
@@ -63,7 +63,7 @@
         self.collected.late += 1;
         let entry = state.entry;
         self.drop_attempt(ticket);
-        self.tell(entry, PolicyEvent::CallerGone { ticket });
+        self.tell(entry, PolicyEvent::CallerDisconnected { ticket });
     }
 
     /// Least engine time of a request without its cache, in microseconds.
--- a/crates/bench/src/world/state.rs
+++ b/crates/bench/src/world/state.rs
@@ -171,7 +171,7 @@
             .collect();
         let nodes = self.scenario.entries;
         self.tell_all(&PolicyEvent::Organisations { organisations: &organisations });
-        self.tell_all(&PolicyEvent::Sharers { nodes });
+        self.tell_all(&PolicyEvent::Senders { nodes });
         let period_us = self.scenario.lags.report_period_ms * 1_000;
         let count = self.targets.len() as u64;
         for target in 0..self.targets.len() as u32 {
--- a/crates/gateway/src/traffic/gate.rs
+++ b/crates/gateway/src/traffic/gate.rs
@@ -117,7 +117,7 @@
             && let Some(name) = &present.at
         {
             present.streaming = true;
-            state.progress.begun(now, name);
+            state.progress.stream_started(now, name);
         }
         state.tell(ticket, |pool, out| pool.started(now, ticket, out));
     }
@@ -125,7 +125,7 @@
     /// An event of a stream has come.
     pub(crate) fn progressed(&self, name: &RoutableName) {
         let now = self.now();
-        self.state.borrow_mut().progress.event(now, name);
+        self.state.borrow_mut().progress.event_received(now, name);
     }
 
     /// A target has told its load.
@@ -154,7 +154,7 @@
             if present.streaming
                 && let Some(name) = &present.at
             {
-                state.progress.ended(name);
+                state.progress.stream_finished(name);
             }
             present.streaming = false;
             present.at = None;
--- a/crates/gateway/src/traffic/gate_state.rs
+++ b/crates/gateway/src/traffic/gate_state.rs
@@ -3,7 +3,7 @@
 
 use async_channel::Sender;
 use celeryhaven_fleet::RouteTable;
-use celeryhaven_policy::{Decision, StandstillWatch, Ticket};
+use celeryhaven_policy::{Decision, StallDetector, Ticket};
 use celeryhaven_types::{Map, ModelName, Refusal, RequestClass, ServiceName, TimeMs};
 
 use crate::traffic::pool::{Pool, RetryLimits};
@@ -48,7 +48,7 @@
     pub(crate) ready: bool,
     pub(crate) cut_off_until: Option<TimeMs>,
     pub(crate) leaving_since: Option<TimeMs>,
-    pub(crate) progress: StandstillWatch<RoutableName>,
+    pub(crate) progress: StallDetector<RoutableName>,
     pub(crate) present: Map<Ticket, Present>,
     pools: Map<PoolKey, Pool>,
     sharers: u32,
@@ -68,7 +68,7 @@
             ready: false,
             cut_off_until: None,
             leaving_since: None,
-            progress: StandstillWatch::new(),
+            progress: StallDetector::new(),
             present: Map::default(),
             pools: Map::default(),
             sharers: 1,
@@ -125,7 +125,7 @@
     pub(crate) fn leave(&mut self, ticket: Ticket) {
         if let Some(Present { at: Some(name), streaming: true, .. }) = self.present.remove(&ticket)
         {
-            self.progress.ended(&name);
+            self.progress.stream_finished(&name);
         }
     }
 
@@ -155,7 +155,7 @@
 
     /// Lets time pass: queues, timeouts of the policy, replicas that stand still.
     pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<RoutableName> {
-        let still = self.progress.still(now);
+        let still = self.progress.detect_stalled(now);
         for name in &still {
             self.move_off(name);
         }
--- a/crates/gateway/src/traffic/pool.rs
+++ b/crates/gateway/src/traffic/pool.rs
@@ -170,9 +170,9 @@
             Sharing::Pooled => self.subset.choose(&all, |routable| routable.name.as_str()),
             _ => all.iter().collect(),
         };
-        let sharers = TargetSubset::sharers(self.sharers, used.len(), all.len());
+        let sharers = TargetSubset::senders_per_target(self.sharers, used.len(), all.len());
         self.policy.set_sharing(sharing);
-        self.policy.handle(now, PolicyEvent::Sharers { nodes: sharers }, out);
+        self.policy.handle(now, PolicyEvent::Senders { nodes: sharers }, out);
         let up: Map<&RoutableName, &Routable> =
             used.iter().map(|routable| (&routable.name, *routable)).collect();
         // A target that starts again keeps its name and may have another address.
@@ -257,11 +257,11 @@
         verdict: Verdict,
         out: &mut Vec<Decision>,
     ) {
-        self.policy.handle(now, PolicyEvent::Broken { ticket, verdict }, out);
+        self.policy.handle(now, PolicyEvent::AttemptFailed { ticket, verdict }, out);
     }
 
     pub(crate) fn gone(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<Decision>) {
-        self.policy.handle(now, PolicyEvent::CallerGone { ticket }, out);
+        self.policy.handle(now, PolicyEvent::CallerDisconnected { ticket }, out);
     }
 
     pub(crate) fn reported(
--- a/crates/node/src/entry/serving/admission.rs
+++ b/crates/node/src/entry/serving/admission.rs
@@ -70,7 +70,7 @@
         let refusal = Refusal { verdict: request.verdict(), ..GONE };
         self.key_ended_refused(now, ticket, &request, refusal, out);
         if request.stage == Stage::Admitted {
-            self.ask(now, PolicyEvent::CallerGone { ticket }, out);
+            self.ask(now, PolicyEvent::CallerDisconnected { ticket }, out);
         }
     }
 
--- a/crates/node/src/entry/serving/attempts.rs
+++ b/crates/node/src/entry/serving/attempts.rs
@@ -65,7 +65,7 @@
     ) {
         let Some(request) = self.requests.get_mut(ticket) else { return };
         request.attempt_ended(verdict);
-        self.ask(now, PolicyEvent::Broken { ticket, verdict }, out);
+        self.ask(now, PolicyEvent::AttemptFailed { ticket, verdict }, out);
         if self.requests.get(ticket).is_some_and(|request| request.is_final) {
             self.give_up(now, ticket, RefusalCode::AnswerLost, out);
         }
--- a/crates/node/src/entry/serving/decisions.rs
+++ b/crates/node/src/entry/serving/decisions.rs
@@ -48,7 +48,7 @@
         let address = target.and_then(|target| target.address);
         let (Some(target), Some(until), Some(address)) = (target, until, address) else {
             self.announce(now, key, out);
-            let broken = PolicyEvent::Broken { ticket, verdict: Verdict::NotRun };
+            let broken = PolicyEvent::AttemptFailed { ticket, verdict: Verdict::NotRun };
             return self.ask(now, broken, out);
         };
         request.attempt = request.attempt.next();
@@ -89,7 +89,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.end_refused(now, ticket, Refusal::not_run(code), out);
-        self.ask(now, PolicyEvent::CallerGone { ticket }, out);
+        self.ask(now, PolicyEvent::CallerDisconnected { ticket }, out);
     }
 
     /// Gives a request its final refusal, with the verdict that this node's own record proves.
--- a/crates/node/src/entry/watching.rs
+++ b/crates/node/src/entry/watching.rs
@@ -58,7 +58,7 @@
         self.vms = vms;
         let sharers = self.vms.values().filter(|entry| entry.role == VmRole::Entry).count();
         let nodes = u32::try_from(sharers.max(1)).unwrap_or(u32::MAX);
-        self.ask(now, PolicyEvent::Sharers { nodes }, out);
+        self.ask(now, PolicyEvent::Senders { nodes }, out);
         self.reconcile(now, out);
     }
 
--- a/crates/node/tests/common/least_loaded.rs
+++ b/crates/node/tests/common/least_loaded.rs
@@ -153,10 +153,12 @@
                 self.held.insert(ticket, held);
                 self.waiting.push_back(ticket);
             }
-            PolicyEvent::Finished { ticket, .. } | PolicyEvent::CallerGone { ticket } => {
+            PolicyEvent::Finished { ticket, .. } | PolicyEvent::CallerDisconnected { ticket } => {
                 self.end(ticket);
             }
-            PolicyEvent::Broken { ticket, verdict } => self.broken(now, ticket, verdict, out),
+            PolicyEvent::AttemptFailed { ticket, verdict } => {
+                self.broken(now, ticket, verdict, out);
+            }
             PolicyEvent::TargetUp { target, profile } => drop(self.targets.insert(target, profile)),
             PolicyEvent::TargetDown { target } => drop(self.targets.remove(&target)),
             PolicyEvent::Started { ticket } => {
@@ -166,7 +168,7 @@
             }
             PolicyEvent::Reported { .. }
             | PolicyEvent::CacheChanged { .. }
-            | PolicyEvent::Sharers { .. }
+            | PolicyEvent::Senders { .. }
             | PolicyEvent::Organisations { .. } => {}
         }
         self.pump(now, out);
--- a/crates/policy/src/baseline/fifo.rs
+++ b/crates/policy/src/baseline/fifo.rs
@@ -62,10 +62,12 @@
         match event {
             PolicyEvent::Tick => self.expire(now, out),
             PolicyEvent::Arrived { ticket, head } => self.admit(now, ticket, head, out),
-            PolicyEvent::Finished { ticket, .. } | PolicyEvent::CallerGone { ticket } => {
+            PolicyEvent::Finished { ticket, .. } | PolicyEvent::CallerDisconnected { ticket } => {
                 self.complete(ticket);
             }
-            PolicyEvent::Broken { ticket, verdict } => self.attempt_failed(ticket, verdict, out),
+            PolicyEvent::AttemptFailed { ticket, verdict } => {
+                self.attempt_failed(ticket, verdict, out);
+            }
             PolicyEvent::TargetUp { target, profile } => self.target_up(target, profile),
             PolicyEvent::TargetDown { target } => {
                 if let Some(state) = self.targets.get_mut(&target) {
@@ -79,7 +81,7 @@
             }
             PolicyEvent::Started { .. }
             | PolicyEvent::CacheChanged { .. }
-            | PolicyEvent::Sharers { .. }
+            | PolicyEvent::Senders { .. }
             | PolicyEvent::Organisations { .. } => return,
         }
         self.dispatch_queued(out);
--- a/crates/policy/src/fair/policy.rs
+++ b/crates/policy/src/fair/policy.rs
@@ -38,7 +38,7 @@
 ///
 /// let mut policy = FairPolicy::new(FairSettings::new(7));
 /// let mut decisions = Vec::new();
-/// policy.handle(TimeMs::new(0), PolicyEvent::Sharers { nodes: 8 }, &mut decisions);
+/// policy.handle(TimeMs::new(0), PolicyEvent::Senders { nodes: 8 }, &mut decisions);
 /// assert!(decisions.is_empty());
 /// ```
 #[derive(Clone, Debug)]
@@ -188,10 +188,12 @@
             PolicyEvent::Finished { ticket, output_tokens } => {
                 self.request_finished(now, ticket, output_tokens, out);
             }
-            PolicyEvent::Broken { ticket, verdict } => {
+            PolicyEvent::AttemptFailed { ticket, verdict } => {
                 self.attempt_failed(now, ticket, verdict, out);
             }
-            PolicyEvent::CallerGone { ticket } => self.caller_disconnected(now, ticket, out),
+            PolicyEvent::CallerDisconnected { ticket } => {
+                self.caller_disconnected(now, ticket, out);
+            }
             PolicyEvent::TargetUp { target, profile } => {
                 self.target_up(now, target, &profile, out);
             }
@@ -200,7 +202,7 @@
             PolicyEvent::CacheChanged { target, added, removed } => {
                 self.cache_changed(target, added, removed);
             }
-            PolicyEvent::Sharers { nodes } => self.set_senders(now, nodes, out),
+            PolicyEvent::Senders { nodes } => self.set_senders(now, nodes, out),
             PolicyEvent::Organisations { organisations } => self.set_organisations(organisations),
         }
     }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -30,14 +30,14 @@
     /// An attempt ended without a whole answer; the policy sends it elsewhere or refuses it.
     ///
     /// After [`Verdict::MayHaveRun`], the request is retried only if it is idempotent.
-    Broken {
+    AttemptFailed {
         /// The request whose attempt failed.
         ticket: Ticket,
         /// Whether the attempt may have run.
         verdict: Verdict,
     },
     /// The caller disconnected; the ticket is finished.
-    CallerGone {
+    CallerDisconnected {
         /// The request of the caller.
         ticket: Ticket,
     },
@@ -70,7 +70,7 @@
         removed: &'a [u64],
     },
     /// The number of live entry nodes that send to the same targets, this one included.
-    Sharers {
+    Senders {
         /// Number of nodes.
         nodes: u32,
     },
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,13 +7,13 @@
 //! |---|---|
 //! | [`interface`] | events that a policy receives and decisions that it returns |
 //! | [`fair`] | the production policy: fair queue, admission by deadline, sharing of targets |
-//! | [`standstill`] | detection of replicas whose streams have all stalled |
+//! | [`stall`] | detection of replicas whose streams have all stalled |
 //! | [`baseline`] | first-in-first-out policies for comparison |
 
 pub mod baseline;
 pub mod fair;
 pub mod interface;
-pub mod standstill;
+pub mod stall;
 
 mod affinity;
 mod estimate;
@@ -25,5 +25,5 @@
 pub use interface::{
     Decision, PolicyEvent, RequestPolicy, TargetKey, TargetLoad, TargetProfile, Ticket,
 };
-pub use standstill::StandstillWatch;
+pub use stall::StallDetector;
 pub use targets::TargetSubset;
--- a/crates/policy/src/standstill/mod.rs
+++ b/crates/policy/src/stall/mod.rs
@@ -1,5 +1,5 @@
 //! Detection of replicas whose streams have all stalled.
 
-mod watch;
+mod stall_detector;
 
-pub use watch::StandstillWatch;
+pub use stall_detector::StallDetector;
--- a/crates/policy/src/standstill/watch.rs
+++ b/crates/policy/src/stall/stall_detector.rs
@@ -12,28 +12,28 @@
 
 /// Detects replicas whose streams have all stopped producing events.
 ///
-/// A replica that has lost a member may still accept requests that it can't answer. Its open
+/// A replica that has lost a member may stalled accept requests that it can't answer. Its open
 /// streams stop together, which shows the failure before the coordinator reports it.
 ///
 /// ```
-/// use celeryhaven_policy::StandstillWatch;
+/// use celeryhaven_policy::StallDetector;
 /// use celeryhaven_types::TimeMs;
-/// let mut watch = StandstillWatch::new();
-/// watch.begun(TimeMs::new(0), &"replica");
-/// watch.event(TimeMs::new(100), &"replica");
-/// assert!(watch.still(TimeMs::new(500)).is_empty());
-/// assert_eq!(watch.still(TimeMs::new(900)), ["replica"]);
-/// assert!(watch.is_suspected(TimeMs::new(900), &"replica"));
+/// let mut detector = StallDetector::new();
+/// detector.stream_started(TimeMs::new(0), &"replica");
+/// detector.event_received(TimeMs::new(100), &"replica");
+/// assert!(detector.detect_stalled(TimeMs::new(500)).is_empty());
+/// assert_eq!(detector.detect_stalled(TimeMs::new(900)), ["replica"]);
+/// assert!(detector.is_suspected(TimeMs::new(900), &"replica"));
 /// ```
 #[derive(Clone, Debug)]
-pub struct StandstillWatch<K> {
+pub struct StallDetector<K> {
     replicas: Map<K, Streams>,
     suspected: Map<K, TimeMs>,
     /// Whether the set of suspected replicas changed since the last `take_changed`.
     changed: bool,
 }
 
-impl<K> Default for StandstillWatch<K> {
+impl<K> Default for StallDetector<K> {
     fn default() -> Self {
         Self { replicas: Map::default(), suspected: Map::default(), changed: false }
     }
@@ -45,14 +45,14 @@
     last_event_at: TimeMs,
 }
 
-impl<K: Clone + Eq + Hash + Ord> StandstillWatch<K> {
+impl<K: Clone + Eq + Hash + Ord> StallDetector<K> {
     /// Creates a detector without streams.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Records that a stream of a replica has produced its first event.
-    pub fn begun(&mut self, now: TimeMs, name: &K) {
+    pub fn stream_started(&mut self, now: TimeMs, name: &K) {
         let initial = Streams { open: 0, last_event_at: now };
         let streams = self.replicas.entry(name.clone()).or_insert(initial);
         streams.open += 1;
@@ -60,7 +60,7 @@
     }
 
     /// Records a further event of a stream, which clears a suspicion of its replica.
-    pub fn event(&mut self, now: TimeMs, name: &K) {
+    pub fn event_received(&mut self, now: TimeMs, name: &K) {
         if let Some(streams) = self.replicas.get_mut(name) {
             streams.last_event_at = now;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Records that a stream has finished.
-    pub fn ended(&mut self, name: &K) {
+    pub fn stream_finished(&mut self, name: &K) {
         if let Some(streams) = self.replicas.get_mut(name) {
             streams.open = streams.open.saturating_sub(1);
             if streams.open == 0 {
@@ -78,18 +78,18 @@
     }
 
     /// Returns the stalled replicas that are not suspected yet, in order, and suspects them.
-    pub fn still(&mut self, now: TimeMs) -> Vec<K> {
+    pub fn detect_stalled(&mut self, now: TimeMs) -> Vec<K> {
         let before = self.suspected.len();
         self.suspected.retain(|_, expires_at| *expires_at > now);
         self.changed |= self.suspected.len() != before;
-        let still = self.replicas.iter().filter(|(name, streams)| {
+        let stalled = self.replicas.iter().filter(|(name, streams)| {
             now.since(streams.last_event_at) >= STALL_TIMEOUT_MS
                 && !self.suspected.contains_key(*name)
         });
-        let mut still: Vec<_> = still.map(|(name, _)| name.clone()).collect();
-        still.sort();
-        still.iter().for_each(|name| self.suspect(now, name));
-        still
+        let mut stalled: Vec<_> = stalled.map(|(name, _)| name.clone()).collect();
+        stalled.sort();
+        stalled.iter().for_each(|name| self.suspect(now, name));
+        stalled
     }
 
     /// Suspects a replica, so that it receives no requests for a while.
--- a/crates/policy/src/targets/subset.rs
+++ b/crates/policy/src/targets/subset.rs
@@ -18,7 +18,7 @@
 /// let chosen = TargetSubset::new(7).choose(&names, String::as_str);
 /// assert_eq!(chosen.len(), 5);
 /// // 80 nodes that each use 5 of 40 targets: 10 nodes per target.
-/// assert_eq!(TargetSubset::sharers(80, chosen.len(), names.len()), 10);
+/// assert_eq!(TargetSubset::senders_per_target(80, chosen.len(), names.len()), 10);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct TargetSubset {
@@ -42,7 +42,7 @@
 
     /// Returns the mean number of nodes that send to the same target, if each of `nodes` selects
     /// `chosen` of `all` targets.
-    pub fn sharers(nodes: u32, chosen: usize, all: usize) -> u32 {
+    pub fn senders_per_target(nodes: u32, chosen: usize, all: usize) -> u32 {
         let fraction = chosen as f64 / all.max(1) as f64;
         (f64::from(nodes) * fraction).round().max(1.0) as u32
     }
--- a/crates/policy/tests/cluster/mod.rs
+++ b/crates/policy/tests/cluster/mod.rs
@@ -115,7 +115,7 @@
             subsets: None,
         };
         for node in 0..nodes {
-            cluster.send_event(node, PolicyEvent::Sharers { nodes: nodes as u32 });
+            cluster.send_event(node, PolicyEvent::Senders { nodes: nodes as u32 });
         }
         cluster.restore_replicas(&(0..replicas).collect::<Vec<_>>());
         cluster
@@ -142,8 +142,9 @@
             for &added in chosen.difference(current) {
                 self.target_up(node, added);
             }
-            let nodes = TargetSubset::sharers(self.nodes.len() as u32, chosen.len(), all.len());
-            self.send_event(node, PolicyEvent::Sharers { nodes });
+            let nodes =
+                TargetSubset::senders_per_target(self.nodes.len() as u32, chosen.len(), all.len());
+            self.send_event(node, PolicyEvent::Senders { nodes });
             *current = chosen;
         }
         self.subsets = Some(subsets);
@@ -189,7 +190,7 @@
                 self.due.retain(|(_, due)| !matches!(due, Timer::FirstToken(timer_id) | Timer::Completion(timer_id) if *timer_id == id));
                 self.requests.entry(id).and_modify(|request| request.replica = None);
                 let (ticket, verdict) = (Ticket::new(id), Verdict::MayHaveRun);
-                self.send_event(node, PolicyEvent::Broken { ticket, verdict });
+                self.send_event(node, PolicyEvent::AttemptFailed { ticket, verdict });
             }
         }
         self.choose_subsets();
--- a/crates/policy/tests/loaded_policy/mod.rs
+++ b/crates/policy/tests/loaded_policy/mod.rs
@@ -74,7 +74,7 @@
     pub fn admit(&mut self) {
         let (ticket, decisions) = self.submit(LONG_DEADLINE_MS);
         assert!(decisions.is_empty(), "{decisions:?}");
-        self.send_event(PolicyEvent::CallerGone { ticket });
+        self.send_event(PolicyEvent::CallerDisconnected { ticket });
     }
 
     /// Refuses a request on arrival.
--- a/crates/policy/tests/simulator/mod.rs
+++ b/crates/policy/tests/simulator/mod.rs
@@ -119,7 +119,7 @@
 
     pub fn fail_attempt(&mut self, ticket: u64, verdict: Verdict) {
         self.remove_attempt(ticket);
-        self.send_event(PolicyEvent::Broken { ticket: Ticket::new(ticket), verdict });
+        self.send_event(PolicyEvent::AttemptFailed { ticket: Ticket::new(ticket), verdict });
     }
 
     pub fn report_load(&mut self, target: u32, running: u32) {
@@ -136,7 +136,7 @@
     }
 
     pub fn set_senders(&mut self, nodes: u32) {
-        self.send_event(PolicyEvent::Sharers { nodes });
+        self.send_event(PolicyEvent::Senders { nodes });
     }
 
     /// Advances the time and processes all events up to then.
