--- a/crates/policy/src/fair/admission.rs
+++ b/crates/policy/src/fair/admission.rs
@@ -1,4 +1,4 @@
-use celeryhaven_queue::Waiting;
+use celeryhaven_queue::QueueEntry;
 use celeryhaven_types::{Idempotency, Refusal, RefusalCode, RequestClass, RequestHead, TimeMs};
 use rand::Rng;
 
@@ -67,7 +67,7 @@
         &mut self,
         now: TimeMs,
         ticket: Ticket,
-        queue_entry: &Waiting,
+        queue_entry: &QueueEntry,
         code: RefusalCode,
         out: &mut Vec<Decision>,
     ) {
@@ -90,11 +90,11 @@
     }
 
     /// Returns the queue entry of a request.
-    pub(crate) fn queue_entry(&self, request: &RequestState) -> Waiting {
+    pub(crate) fn queue_entry(&self, request: &RequestState) -> QueueEntry {
         let Cost { mean_ms, high_ms } = request.cost;
         let needed_ms = mean_ms + (high_ms - mean_ms) * self.settings.cost_margin;
         let latest_start = TimeMs::new(request.deadline.get().saturating_sub(needed_ms as u64));
-        Waiting {
+        QueueEntry {
             flow: request.flow,
             cost_ms: request.cost.mean_ms.max(1.0) as u64,
             latest_start: request.send_by.map_or(latest_start, |send_by| send_by.min(latest_start)),
--- a/crates/policy/src/fair/class.rs
+++ b/crates/policy/src/fair/class.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use celeryhaven_queue::{FairQueue, Waiting};
+use celeryhaven_queue::{FairQueue, QueueEntry};
 use celeryhaven_types::{Map, TimeMs};
 
 use crate::affinity::PrefixIndex;
@@ -143,7 +143,7 @@
     ///
     /// It waits for the entries ahead of it in its own flow, served at the expected share of the
     /// flow.
-    pub(crate) fn wait_ms(&mut self, now: TimeMs, entry: &Waiting, senders: u32) -> f64 {
+    pub(crate) fn wait_ms(&mut self, now: TimeMs, entry: &QueueEntry, senders: u32) -> f64 {
         let capacity = self.capacity(senders);
         if capacity <= 0.0 {
             return f64::INFINITY;
@@ -161,10 +161,10 @@
     /// Weights alone are inaccurate while other flows come and go. The share observed since the
     /// flow became active is therefore averaged with the nominal share, which counts as one turn of
     /// all slots.
-    fn expected_share(&self, entry: &Waiting, ahead_ms: f64, capacity: f64) -> f64 {
+    fn expected_share(&self, entry: &QueueEntry, ahead_ms: f64, capacity: f64) -> f64 {
         let all_queued_ms = self.queue.cost_ms().max(1) as f64;
         let nominal_share = self.queue.share(entry.flow).max(ahead_ms / all_queued_ms);
-        let (own_ms, all_ms) = self.queue.taken_ms(entry.flow);
+        let (own_ms, all_ms) = self.queue.served_ms(entry.flow);
         let prior_ms = capacity * self.in_flight.mean_cost_ms().max(1.0);
         (own_ms as f64 + nominal_share * prior_ms) / (all_ms as f64 + prior_ms)
     }
@@ -197,7 +197,7 @@
     }
 
     /// Estimates the time until the queue of this entry's flow is drained.
-    pub(crate) fn drain_ms(&self, now: TimeMs, entry: &Waiting, senders: u32) -> f64 {
+    pub(crate) fn drain_ms(&self, now: TimeMs, entry: &QueueEntry, senders: u32) -> f64 {
         let own_ms = self.queue.flow_cost_ms(entry.flow) as f64 / self.queue.share(entry.flow);
         (self.in_flight.remaining_ms(now) + own_ms.min(self.queue.cost_ms() as f64))
             / self.capacity(senders).max(1.0)
--- a/crates/policy/src/fair/dispatch.rs
+++ b/crates/policy/src/fair/dispatch.rs
@@ -1,4 +1,4 @@
-use celeryhaven_queue::Waiting;
+use celeryhaven_queue::QueueEntry;
 use celeryhaven_types::{RefusalCode, TimeMs};
 
 use crate::fair::request::{Phase, Pick, RequestState};
@@ -24,7 +24,7 @@
         let (look_ahead, senders) = (self.settings.look_ahead, self.senders);
         self.refresh_unavailable(now, class_key);
         while self.class(class_key).has_free_slot(senders) {
-            let next = self.class(class_key).queue.next_few(look_ahead);
+            let next = self.class(class_key).queue.next_entries(look_ahead);
             let Some(&(first, entry)) = next.first() else { return };
             if entry.latest_start < now {
                 self.class(class_key).queue.remove(first);
@@ -44,7 +44,11 @@
     /// receive a request whose prefix it does not cache. A later request that has most of its
     /// prompt cached there is preferred while the first one has slack; the first one keeps its
     /// position.
-    fn select_next(&mut self, now: TimeMs, next: &[(Ticket, Waiting)]) -> Option<(Ticket, Pick)> {
+    fn select_next(
+        &mut self,
+        now: TimeMs,
+        next: &[(Ticket, QueueEntry)],
+    ) -> Option<(Ticket, Pick)> {
         let &(first, entry) = next.first()?;
         let request = self.requests.remove(&first)?;
         let pick = self.pick(now, &request);
--- a/crates/policy/src/fair/shed.rs
+++ b/crates/policy/src/fair/shed.rs
@@ -31,13 +31,13 @@
         let flows: Vec<_> = self.class(class_key).queue.active_flows().collect();
         let senders = self.senders;
         for flow in flows {
-            while let Some((ticket, entry)) = self.class(class_key).queue.last_of(flow) {
+            while let Some((ticket, entry)) = self.class(class_key).queue.last_entry(flow) {
                 let wait_ms = self.class(class_key).wait_ms(now, &entry, senders);
                 if starts_in_time(now, wait_ms, entry.latest_start) {
                     break;
                 }
                 let (ticket, entry) =
-                    self.class(class_key).queue.least_dense(flow).unwrap_or((ticket, entry));
+                    self.class(class_key).queue.lowest_density(flow).unwrap_or((ticket, entry));
                 self.refuse_queued(now, ticket, &entry, RefusalCode::Overloaded, out);
             }
         }
--- a/crates/queue/examples/flood.rs
+++ b/crates/queue/examples/flood.rs
@@ -2,13 +2,13 @@
 //!
 //! Run with `cargo run -p celeryhaven-queue --example flood`.
 
-use celeryhaven_queue::{FairQueue, FlowKey, QueueFull, Waiting};
+use celeryhaven_queue::{FairQueue, FlowKey, QueueEntry, QueueFull};
 use celeryhaven_types::{Priority, TimeMs};
 
 const FLOW_NAMES: [&str; 2] = ["flooding", "modest"];
 
-fn entry(flow: FlowKey, latest_start: TimeMs) -> Waiting {
-    Waiting { flow, cost_ms: 100, latest_start, priority: Priority::new(0), worth: 1 }
+fn entry(flow: FlowKey, latest_start: TimeMs) -> QueueEntry {
+    QueueEntry { flow, cost_ms: 100, latest_start, priority: Priority::new(0), worth: 1 }
 }
 
 fn main() -> Result<(), QueueFull> {
--- a/crates/queue/src/fair_queue.rs
+++ b/crates/queue/src/fair_queue.rs
@@ -3,7 +3,7 @@
 use celeryhaven_types::{Map, TimeMs};
 
 use crate::flow::Flow;
-use crate::{FlowKey, QueueFull, Waiting};
+use crate::{FlowKey, QueueEntry, QueueFull};
 
 /// Virtual time of one millisecond of cost at weight one.
 const VIRTUAL_TIME_PER_MS: u64 = 1_000;
@@ -19,31 +19,31 @@
 /// visits a bounded number of histogram buckets.
 ///
 /// ```
-/// use celeryhaven_queue::{FairQueue, FlowKey, Waiting};
+/// use celeryhaven_queue::{FairQueue, FlowKey, QueueEntry};
 /// use celeryhaven_types::{Priority, TimeMs};
 ///
 /// let mut queue = FairQueue::new(10);
-/// let waiting = Waiting {
+/// let entry = QueueEntry {
 ///     flow: FlowKey::new(0),
 ///     cost_ms: 100,
 ///     latest_start: TimeMs::new(5_000),
 ///     priority: Priority::new(0),
 ///     worth: 1,
 /// };
-/// queue.push(7_u64, waiting)?;
+/// queue.push(7_u64, entry)?;
 /// assert_eq!(queue.pop().map(|(key, _)| key), Some(7));
 /// # Ok::<(), celeryhaven_queue::QueueFull>(())
 /// ```
 #[derive(Clone, Debug)]
 pub struct FairQueue<K> {
     limit: usize,
-    entries: Map<K, Waiting>,
+    entries: Map<K, QueueEntry>,
     flows: Vec<Flow<K>>,
     active: BTreeSet<(u64, FlowKey)>,
     overdue: BTreeSet<(TimeMs, K)>,
     active_weight: u64,
     cost_ms: u64,
-    taken_ms: u64,
+    served_ms: u64,
     virtual_now: u64,
     visits: u64,
 }
@@ -59,7 +59,7 @@
             overdue: BTreeSet::new(),
             active_weight: 0,
             cost_ms: 0,
-            taken_ms: 0,
+            served_ms: 0,
             virtual_now: 0,
             visits: 0,
         }
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Returns [`QueueFull`] if the queue has reached its limit.
-    pub fn push(&mut self, key: K, entry: Waiting) -> Result<(), QueueFull> {
+    pub fn push(&mut self, key: K, entry: QueueEntry) -> Result<(), QueueFull> {
         if self.entries.len() >= self.limit {
             return Err(QueueFull { limit: self.limit });
         }
@@ -92,7 +92,7 @@
             flow.virtual_start = flow.virtual_start.max(self.virtual_now);
             self.active.insert((flow.virtual_start, entry.flow));
             self.active_weight += flow.weight;
-            flow.served_before_ms = self.taken_ms;
+            flow.served_before_ms = self.served_ms;
             flow.served_own_ms = 0;
         }
         flow.insert(key, &entry);
@@ -104,14 +104,14 @@
     }
 
     /// Takes the next entry of the flow that is furthest behind its share.
-    pub fn pop(&mut self) -> Option<(K, Waiting)> {
+    pub fn pop(&mut self) -> Option<(K, QueueEntry)> {
         let &(_, flow) = self.active.first()?;
         let key = self.flows[flow.get() as usize].first()?;
         self.take(key).map(|entry| (key, entry))
     }
 
     /// Returns at most `count` next entries of the flow that is furthest behind its share.
-    pub fn next_few(&mut self, count: usize) -> Vec<(K, Waiting)> {
+    pub fn next_entries(&mut self, count: usize) -> Vec<(K, QueueEntry)> {
         let Some(&(_, flow)) = self.active.first() else { return Vec::new() };
         let keys = self.flows[flow.get() as usize].first_entries(count);
         let entries: Vec<_> =
@@ -121,18 +121,18 @@
     }
 
     /// Removes an entry for service and charges its flow.
-    pub fn take(&mut self, key: K) -> Option<Waiting> {
+    pub fn take(&mut self, key: K) -> Option<QueueEntry> {
         let entry = self.remove(key)?;
         let flow = &mut self.flows[entry.flow.get() as usize];
         self.virtual_now = self.virtual_now.max(flow.virtual_start);
         flow.served_own_ms += entry.cost_ms;
-        self.taken_ms += entry.cost_ms;
+        self.served_ms += entry.cost_ms;
         self.charge(entry.flow, entry.cost_ms);
         Some(entry)
     }
 
     /// Removes an entry without charging its flow.
-    pub fn remove(&mut self, key: K) -> Option<Waiting> {
+    pub fn remove(&mut self, key: K) -> Option<QueueEntry> {
         let entry = self.entries.remove(&key)?;
         let flow = &mut self.flows[entry.flow.get() as usize];
         flow.remove(key, &entry);
@@ -162,7 +162,7 @@
     }
 
     /// Removes one entry whose latest start has passed.
-    pub fn pop_overdue(&mut self, now: TimeMs) -> Option<(K, Waiting)> {
+    pub fn pop_overdue(&mut self, now: TimeMs) -> Option<(K, QueueEntry)> {
         let &(latest_start, key) = self.overdue.first()?;
         if latest_start >= now {
             return None;
@@ -171,19 +171,19 @@
     }
 
     /// Returns the entry of a flow that is served last.
-    pub fn last_of(&self, flow: FlowKey) -> Option<(K, Waiting)> {
+    pub fn last_entry(&self, flow: FlowKey) -> Option<(K, QueueEntry)> {
         let key = self.flows.get(flow.get() as usize)?.last()?;
         self.entries.get(&key).map(|entry| (key, *entry))
     }
 
     /// Returns the entry of a flow with the least worth per cost.
-    pub fn least_dense(&self, flow: FlowKey) -> Option<(K, Waiting)> {
+    pub fn lowest_density(&self, flow: FlowKey) -> Option<(K, QueueEntry)> {
         let (_, key) = self.flows.get(flow.get() as usize)?.lowest_density()?;
         self.entries.get(&key).map(|entry| (key, *entry))
     }
 
     /// Returns the cost that this flow serves before such an entry.
-    pub fn cost_ahead_ms(&mut self, entry: &Waiting) -> u64 {
+    pub fn cost_ahead_ms(&mut self, entry: &QueueEntry) -> u64 {
         let Some(flow) = self.flows.get(entry.flow.get() as usize) else { return 0 };
         let (ahead_ms, visits) = flow.cost_ahead_ms(entry);
         self.visits += visits;
@@ -212,11 +212,11 @@
     ///
     /// The quotient is the observed share of the flow, which differs from [`share`](Self::share)
     /// when other flows come and go. Both are zero for an idle flow.
-    pub fn taken_ms(&self, flow: FlowKey) -> (u64, u64) {
+    pub fn served_ms(&self, flow: FlowKey) -> (u64, u64) {
         self.flows
             .get(flow.get() as usize)
             .filter(|state| !state.is_empty())
-            .map_or((0, 0), |state| (state.served_own_ms, self.taken_ms - state.served_before_ms))
+            .map_or((0, 0), |state| (state.served_own_ms, self.served_ms - state.served_before_ms))
     }
 
     /// Flows that have entries, in order of their virtual start times.
@@ -240,7 +240,7 @@
     }
 
     /// Returns the entry with this key.
-    pub fn get(&self, key: K) -> Option<&Waiting> {
+    pub fn get(&self, key: K) -> Option<&QueueEntry> {
         self.entries.get(&key)
     }
 
--- a/crates/queue/src/flow.rs
+++ b/crates/queue/src/flow.rs
@@ -2,7 +2,7 @@
 
 use celeryhaven_derives::number;
 
-use crate::Waiting;
+use crate::QueueEntry;
 
 number! {
     /// Identifies a flow of a queue.
@@ -43,14 +43,14 @@
         }
     }
 
-    pub(crate) fn insert(&mut self, key: K, entry: &Waiting) {
+    pub(crate) fn insert(&mut self, key: K, entry: &QueueEntry) {
         self.by_sort_key.insert((entry.sort_key(), key));
         self.by_density.insert((entry.density(), key));
         self.cost_ms += entry.cost_ms;
         *self.cost_histogram.entry(bucket(entry)).or_insert(0) += entry.cost_ms;
     }
 
-    pub(crate) fn remove(&mut self, key: K, entry: &Waiting) {
+    pub(crate) fn remove(&mut self, key: K, entry: &QueueEntry) {
         self.by_sort_key.remove(&(entry.sort_key(), key));
         self.by_density.remove(&(entry.density(), key));
         self.cost_ms -= entry.cost_ms;
@@ -87,7 +87,7 @@
     }
 
     /// Returns the cost ahead of an entry, and the number of buckets visited.
-    pub(crate) fn cost_ahead_ms(&self, entry: &Waiting) -> (u64, u64) {
+    pub(crate) fn cost_ahead_ms(&self, entry: &QueueEntry) -> (u64, u64) {
         let last_bucket = bucket(entry);
         let mut ahead_ms = 0;
         let mut visits = 0;
@@ -105,6 +105,6 @@
     }
 }
 
-fn bucket(entry: &Waiting) -> u64 {
+fn bucket(entry: &QueueEntry) -> u64 {
     entry.sort_key() / COST_BUCKET_MS
 }
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fair queue by organisation, worth and deadline, without I/O.
 //!
 //! - [`FairQueue`]: weighted fair queue; each flow is served in order of latest start.
-//! - [`Waiting`]: the cost, deadline, priority and worth of an entry.
+//! - [`QueueEntry`]: the cost, deadline, priority and worth of an entry.
 //! - [`FlowKey`]: identifies a flow, such as an organisation.
 //! - [`QueueFull`]: returned if the queue has reached its limit.
 //!
@@ -13,9 +13,9 @@
 mod error;
 mod fair_queue;
 mod flow;
-mod waiting;
+mod queue_entry;
 
 pub use error::QueueFull;
 pub use fair_queue::FairQueue;
 pub use flow::FlowKey;
-pub use waiting::Waiting;
+pub use queue_entry::QueueEntry;
--- a/crates/queue/src/waiting.rs
+++ b/crates/queue/src/queue_entry.rs
@@ -6,7 +6,7 @@
 state! {
     /// An entry of the queue.
     #[derive(Copy, Eq)]
-    pub struct Waiting {
+    pub struct QueueEntry {
         /// The flow whose share is charged.
         pub flow: FlowKey,
         /// Estimated slot time, in milliseconds.
@@ -24,7 +24,7 @@
 /// does not let a steady stream of urgent entries starve the rest.
 const PRIORITY_STEP_MS: u64 = 2_000;
 
-impl Waiting {
+impl QueueEntry {
     /// Order within the flow, least first; it is constant while the entry waits.
     pub(crate) fn sort_key(&self) -> u64 {
         let lead_ms = u64::from(self.priority.get()).saturating_mul(PRIORITY_STEP_MS);
--- a/crates/queue/tests/fair_queue.rs
+++ b/crates/queue/tests/fair_queue.rs
@@ -1,11 +1,11 @@
 //! Shares, order, bounds and cost of the fair queue.
 
-use celeryhaven_queue::{FairQueue, FlowKey, Waiting};
+use celeryhaven_queue::{FairQueue, FlowKey, QueueEntry};
 use celeryhaven_types::{Priority, TimeMs};
 use quickcheck::{Arbitrary, Gen};
 
-fn entry(flow: u32, cost_ms: u64, latest_start_ms: u64) -> Waiting {
-    Waiting {
+fn entry(flow: u32, cost_ms: u64, latest_start_ms: u64) -> QueueEntry {
+    QueueEntry {
         flow: FlowKey::new(flow),
         cost_ms,
         latest_start: TimeMs::new(latest_start_ms),
@@ -82,7 +82,7 @@
     let mut queue = FairQueue::new(100);
     queue.push(0, entry(0, 100, 10_000)).unwrap();
     for key in 1..50 {
-        let urgent = Waiting { priority: Priority::new(1), ..entry(0, 100, 10_000 + key * 500) };
+        let urgent = QueueEntry { priority: Priority::new(1), ..entry(0, 100, 10_000 + key * 500) };
         queue.push(key, urgent).unwrap();
     }
     let position = (0..50).position(|_| queue.pop().unwrap().0 == 0).unwrap();
