--- a/crates/forming/src/domain/converting.rs
+++ b/crates/forming/src/domain/converting.rs
@@ -76,7 +76,7 @@
     fn conversion<'a>(&self, view: FormingView<'a>) -> Option<(ModelName, Conversion<'a>)> {
         let is_calm = self.formations.is_empty() && self.dissolving.is_empty();
         // What is given up could not be formed anew.
-        if !view.store_serves {
+        if !view.store_available {
             return None;
         }
         if !is_calm || self.serves_callers(view) != Some(true) {
@@ -92,7 +92,7 @@
         let possible = models.filter_map(|from| {
             let conversion = self.give_up(view, &free, &to, from)?;
             let after = balance.with_conversion(&to, from, conversion.given_up.len());
-            after.is_evener_than(&balance).then_some(conversion)
+            after.is_more_even_than(&balance).then_some(conversion)
         });
         let least = possible.min_by_key(|conversion| conversion.targets)?;
         Some((to, least))
--- a/crates/forming/src/domain/dissolving.rs
+++ b/crates/forming/src/domain/dissolving.rs
@@ -72,13 +72,13 @@
         let state = view.replicas.get(key).and_then(|replica| replica.head_state);
         let waited_ms = now.since(closed_at);
         let is_closing = match state {
-            Some(MemberState::Closing) => waited_ms < self.settings.drain_wait_ms,
+            Some(MemberState::Closing) => waited_ms < self.settings.drain_timeout_ms,
             Some(MemberState::Open) => waited_ms < self.settings.order_retry_ms * 3,
             // The head leaves without a word: as long as it answers, it may have work.
             None => {
                 let head = self.planned(key).and_then(|plan| plan.members.first().cloned());
                 let answers = head.is_some_and(|head| self.departing.contains_key(&head));
-                answers && waited_ms < self.settings.unlisted_wait_ms
+                answers && waited_ms < self.settings.unlisted_drain_timeout_ms
             }
             _ => false,
         };
--- a/crates/forming/src/domain/domain_planner.rs
+++ b/crates/forming/src/domain/domain_planner.rs
@@ -6,7 +6,7 @@
 use crate::domain::formation::{Dissolving, Formation, PendingOrder};
 use crate::domain::loads::Loads;
 use crate::domain::unseen::UnseenPlan;
-use crate::interface::{FormingAction, FormingEvent, FormingSettings, FormingView, OrderCall};
+use crate::interface::{FormingAction, FormingEvent, FormingSettings, FormingView, OrderId};
 use crate::record::{DomainRecord, PlannedReplica};
 
 /// What this decider knows of the domain's record.
@@ -60,7 +60,7 @@
     /// Targets that have refused to stage, until when they are not asked again, and how long that
     /// was, in milliseconds.
     pub(crate) unstageable: BTreeMap<VmName, (TimeMs, u64)>,
-    pub(crate) pending: BTreeMap<OrderCall, PendingOrder>,
+    pub(crate) pending: BTreeMap<OrderId, PendingOrder>,
     pub(crate) loads: Loads,
     /// Plans of this decider whose write got no answer.
     pub(crate) unconfirmed: BTreeSet<ReplicaName>,
@@ -74,14 +74,14 @@
     pub(crate) short_since: Option<(ModelName, TimeMs)>,
     /// The model that replicas were given up for last, and which.
     pub(crate) converting: Option<(ModelName, Vec<ReplicaKey>)>,
-    pub(crate) next_call: OrderCall,
+    pub(crate) next_call: OrderId,
     pub(crate) next_name: u64,
 }
 
 impl DomainPlanner {
     /// A decider that knows nothing yet.
     pub fn new(now: TimeMs, domain: DomainName, node: NodeName, settings: FormingSettings) -> Self {
-        let loads = Loads::new(now, settings.loads_per_s, settings.loads_saved_max);
+        let loads = Loads::new(now, settings.loads_per_s, settings.load_burst_max);
         Self {
             domain,
             node,
@@ -105,7 +105,7 @@
             resolved: BTreeSet::new(),
             short_since: None,
             converting: None,
-            next_call: OrderCall::default(),
+            next_call: OrderId::default(),
             next_name: 0,
         }
     }
@@ -163,19 +163,19 @@
                 if let RecordState::Writing(record) = &self.record {
                     let new = record.replicas.iter().filter(|plan| plan.generation.is_none());
                     let new: Vec<PlannedReplica> = new.cloned().collect();
-                    self.record = RecordState::Known(record.clone().at(generation));
+                    self.record = RecordState::Known(record.clone().with_version(generation));
                     new.iter().for_each(|plan| self.begin(now, view, plan, generation, out));
                     self.unconfirmed.clear();
                     self.planned_generation = generation;
                 }
             }
             FormingEvent::RecordFailed => self.record_failed(now),
-            FormingEvent::Ordered { call, outcome } => self.ordered(now, call, outcome, out),
-            FormingEvent::Probed { target, reachability } => {
+            FormingEvent::OrderCompleted { id, outcome } => self.ordered(now, id, outcome, out),
+            FormingEvent::ProbeCompleted { target, reachability } => {
                 self.probed(now, target, reachability);
             }
             FormingEvent::Suspected { replica } => self.suspected(view, &replica, out),
-            FormingEvent::Accused { target } => out.push(FormingAction::Probe { target }),
+            FormingEvent::LossReported { target } => out.push(FormingAction::Probe { target }),
         }
     }
 
@@ -187,7 +187,7 @@
         out: &mut Vec<FormingAction>,
     ) {
         let (replica, target) = (replica.clone(), target.cloned());
-        out.push(FormingAction::Note { replica, change, target });
+        out.push(FormingAction::LogChange { replica, change, target });
     }
 
     /// Reads the record anew: at once after a write that met a newer one, later after a read.
@@ -196,7 +196,7 @@
     /// count against the rate that the nodes share. Limit: half a second.
     fn record_failed(&mut self, now: TimeMs) {
         if self.record == RecordState::Reading {
-            self.read_again_at = now.after(self.settings.read_again_ms);
+            self.read_again_at = now.after(self.settings.record_retry_ms);
         }
         self.record = RecordState::Unknown;
     }
@@ -267,6 +267,6 @@
     let replica = plan.replica.clone();
     let first = ReplicaKey { replica, generation: Generation::default() };
     let listed = view.replicas.range(&first..).next().map(|(key, _)| key);
-    let shown = view.shown.range(&first..).next();
-    listed.into_iter().chain(shown).any(|key| key.replica == plan.replica)
+    let recently_listed = view.recently_listed.range(&first..).next();
+    listed.into_iter().chain(recently_listed).any(|key| key.replica == plan.replica)
 }
--- a/crates/forming/src/domain/orders.rs
+++ b/crates/forming/src/domain/orders.rs
@@ -13,22 +13,22 @@
         order: TargetOrder,
         out: &mut Vec<FormingAction>,
     ) {
-        let call = self.next_call;
-        self.next_call = call.next();
+        let id = self.next_call;
+        self.next_call = id.next();
         let (again, name) = (order.clone(), target.clone());
         let pending = PendingOrder { target: name, order: again, tries: 1, again_at: None };
-        self.pending.insert(call, pending);
-        out.push(FormingAction::Order { call, target, order });
+        self.pending.insert(id, pending);
+        out.push(FormingAction::Order { id, target, order });
     }
 
     /// Sends again what got no answer; every order holds when it is carried out twice.
     pub(crate) fn send_again(&mut self, now: TimeMs, out: &mut Vec<FormingAction>) {
-        for (&call, pending) in &mut self.pending {
+        for (&id, pending) in &mut self.pending {
             if pending.again_at.is_some_and(|at| at <= now) {
                 pending.again_at = None;
                 pending.tries += 1;
                 let (target, order) = (pending.target.clone(), pending.order.clone());
-                out.push(FormingAction::Order { call, target, order });
+                out.push(FormingAction::Order { id, target, order });
             }
         }
     }
@@ -37,16 +37,16 @@
     pub(crate) fn ordered(
         &mut self,
         now: TimeMs,
-        call: crate::OrderCall,
+        id: crate::OrderId,
         outcome: OrderOutcome,
         out: &mut Vec<FormingAction>,
     ) {
-        let Some(pending) = self.pending.remove(&call) else { return };
+        let Some(pending) = self.pending.remove(&id) else { return };
         let wanted = self.is_wanted(&pending);
         if outcome == OrderOutcome::Unanswered && wanted {
-            if pending.tries < self.settings.join_tries_max {
+            if pending.tries < self.settings.order_attempts_max {
                 let again_at = Some(now.after(self.settings.order_retry_ms));
-                self.pending.insert(call, PendingOrder { again_at, ..pending });
+                self.pending.insert(id, PendingOrder { again_at, ..pending });
                 return;
             }
             self.unreachable.insert(pending.target.clone(), now);
--- a/crates/forming/src/domain/planning.rs
+++ b/crates/forming/src/domain/planning.rs
@@ -7,7 +7,7 @@
 use crate::domain::domain_planner::RecordState;
 use crate::domain::free::{Warmth, warmth};
 use crate::interface::{FormingAction, FormingView};
-use crate::mix::{DomainPlace, ModelCount, wanted_replicas};
+use crate::mix::{DomainPosition, ModelCount, wanted_replicas};
 use crate::record::{DomainRecord, PlannedReplica};
 
 impl DomainPlanner {
@@ -39,7 +39,8 @@
     /// Replicas of each model that this domain should hold.
     pub(crate) fn wanted(&self, view: FormingView<'_>) -> Vec<ModelCount> {
         let index = view.domains.iter().position(|domain| *domain.name == self.domain);
-        let place = DomainPlace { index: index.unwrap_or_default(), domains: view.domains.len() };
+        let place =
+            DomainPosition { index: index.unwrap_or_default(), domains: view.domains.len() };
         wanted_replicas(self.usable_targets(view), &view.profile.models, place)
     }
 
--- a/crates/forming/src/domain/reach.rs
+++ b/crates/forming/src/domain/reach.rs
@@ -33,7 +33,7 @@
             }
             Reachability::Gone | Reachability::Silent => {
                 self.departing.remove(&target);
-                let again_at = now.after(self.settings.probe_every_ms);
+                let again_at = now.after(self.settings.probe_interval_ms);
                 self.unreachable.insert(target, again_at);
             }
         }
@@ -60,7 +60,7 @@
         if let Some((_, answered)) = self.departing.get(name) {
             return answered.then_some(true);
         }
-        let again_at = now.after(self.settings.probe_every_ms);
+        let again_at = now.after(self.settings.probe_interval_ms);
         self.departing.insert(name.clone(), (again_at, false));
         out.push(FormingAction::Probe { target: name.clone() });
         None
@@ -71,7 +71,7 @@
         let departing = self.departing.iter_mut().map(|(target, (at, _))| (target, at));
         for (target, at) in self.unreachable.iter_mut().chain(departing) {
             if *at <= now {
-                *at = now.after(self.settings.probe_every_ms);
+                *at = now.after(self.settings.probe_interval_ms);
                 out.push(FormingAction::Probe { target: target.clone() });
             }
         }
--- a/crates/forming/src/domain/replicas.rs
+++ b/crates/forming/src/domain/replicas.rs
@@ -47,7 +47,7 @@
             key: key.clone(),
             model: plan.model.clone(),
             members: plan.members.clone(),
-            give_up_at: now.after(load_ms * self.settings.load_patience),
+            give_up_at: now.after(load_ms * self.settings.load_timeout_factor),
             accepted: Vec::new(),
             open_sent: false,
         };
@@ -78,7 +78,7 @@
             OrderOutcome::Accepted => formation.accepted.push(target.clone()),
             OrderOutcome::Refused => self.abandon(key, "join refused", out),
             OrderOutcome::Gone | OrderOutcome::Unanswered => {
-                self.unreachable.insert(target.clone(), now.after(self.settings.probe_every_ms));
+                self.unreachable.insert(target.clone(), now.after(self.settings.probe_interval_ms));
                 self.abandon(key, "member unreachable", out);
             }
         }
@@ -226,7 +226,7 @@
             key: replica.key.clone(),
             model,
             members: replica.members.iter().flatten().cloned().collect(),
-            give_up_at: now.after(load_ms * self.settings.load_patience),
+            give_up_at: now.after(load_ms * self.settings.load_timeout_factor),
             accepted: Vec::new(),
             open_sent: false,
         };
--- a/crates/forming/src/domain/staging.rs
+++ b/crates/forming/src/domain/staging.rs
@@ -30,7 +30,7 @@
         if !serves && !self.formations.is_empty() {
             return;
         }
-        let under_way_max = self.loads_under_way_max(view);
+        let under_way_max = self.concurrent_loads_max(view);
         let wanted = self.loads_wanted(now, view);
         let second = self.second_loads_wanted(now, view);
         for (target, model) in wanted.into_iter().chain(second) {
@@ -39,7 +39,7 @@
                 return;
             }
             let load_ms = view.profile.model(&model).map_or(0, |model| model.load_ms);
-            let until = now.after(load_ms * self.settings.load_patience);
+            let until = now.after(load_ms * self.settings.load_timeout_factor);
             self.staging.insert(target.clone(), (model.clone(), until));
             self.send(target, TargetOrder::Stage { model }, out);
         }
@@ -50,10 +50,10 @@
     /// Load: empty targets come in some domains and not in others. Harm: with the same part for
     /// each, three empty ones of one domain loaded one after another while the weights store had
     /// nothing to do for the others. Limit: one at least, so that a domain is never without.
-    fn loads_under_way_max(&self, view: FormingView<'_>) -> usize {
+    fn concurrent_loads_max(&self, view: FormingView<'_>) -> usize {
         let own = self.targets_of_domain(view).filter(|entry| entry.is_empty()).count();
         let part = own as f64 / empty_targets(view).max(1) as f64;
-        let most = self.settings.loads_under_way_max as f64 * part;
+        let most = self.settings.concurrent_loads_max as f64 * part;
         (most.round() as usize).max(1)
     }
 
@@ -61,8 +61,8 @@
     pub(crate) fn stage_failed(&mut self, now: TimeMs, target: &VmName) {
         self.staging.remove(target);
         let pause_ms = match self.unstageable.get(target) {
-            Some((_, before_ms)) => (before_ms * 2).min(self.settings.stage_pause_max_ms),
-            None => self.settings.stage_again_ms,
+            Some((_, before_ms)) => (before_ms * 2).min(self.settings.stage_retry_max_ms),
+            None => self.settings.stage_retry_ms,
         };
         self.unstageable.insert(target.clone(), (now.after(pause_ms), pause_ms));
     }
--- a/crates/forming/src/domain/unseen.rs
+++ b/crates/forming/src/domain/unseen.rs
@@ -28,8 +28,8 @@
         let unseen = UnseenPlan {
             plan: plan.clone(),
             unresolved: plan.members.iter().cloned().collect(),
-            retract_at: now.after(self.settings.announced_ms),
-            forget_at: now.after(self.settings.unseen_max_ms),
+            retract_at: now.after(self.settings.unlisted_plan_grace_ms),
+            forget_at: now.after(self.settings.unlisted_plan_max_ms),
         };
         self.unseen.insert(plan.replica.clone(), unseen);
     }
@@ -48,7 +48,7 @@
         let due: Vec<UnseenPlan> = due.cloned().collect();
         for UnseenPlan { plan, mut unresolved, forget_at, .. } in due {
             let key = key_of(&plan);
-            let is_shown = view.replicas.contains_key(&key) || view.shown.contains(&key);
+            let is_shown = view.replicas.contains_key(&key) || view.recently_listed.contains(&key);
             if is_shown || forget_at <= now {
                 self.resolve(&plan);
                 continue;
--- a/crates/forming/src/interface/action.rs
+++ b/crates/forming/src/interface/action.rs
@@ -6,7 +6,7 @@
 
 number! {
     /// Matches an order's outcome to the order, inside one decider.
-    OrderCall(u64)
+    OrderId(u64)
 }
 
 state! {
@@ -22,7 +22,7 @@
         /// Send an order; its outcome follows.
         Order {
             /// Names the order.
-            call: OrderCall,
+            id: OrderId,
             /// Whom to.
             target: VmName,
             /// What.
@@ -34,7 +34,7 @@
             target: VmName,
         },
         /// Nothing to do but to log: what is believed of a replica has changed.
-        Note {
+        LogChange {
             /// Which.
             replica: ReplicaKey,
             /// What, in a few words.
--- a/crates/forming/src/interface/event.rs
+++ b/crates/forming/src/interface/event.rs
@@ -2,7 +2,7 @@
 use celeryhaven_fleet::{OrderOutcome, ReplicaKey};
 use celeryhaven_types::{Generation, VmName};
 
-use crate::interface::OrderCall;
+use crate::interface::OrderId;
 use crate::record::DomainRecord;
 
 state! {
@@ -21,14 +21,14 @@
         /// The record was not written, or perhaps was: it must be read again.
         RecordFailed,
         /// What became of an order.
-        Ordered {
+        OrderCompleted {
             /// Which.
-            call: OrderCall,
+            id: OrderId,
             /// What.
             outcome: OrderOutcome,
         },
         /// What became of a probe.
-        Probed {
+        ProbeCompleted {
             /// Whom it went to.
             target: VmName,
             /// What it showed.
@@ -40,7 +40,7 @@
             replica: ReplicaKey,
         },
         /// A target is named as lost by the head of its replica.
-        Accused {
+        LossReported {
             /// Which.
             target: VmName,
         },
--- a/crates/forming/src/interface/view.rs
+++ b/crates/forming/src/interface/view.rs
@@ -11,7 +11,7 @@
     /// The replicas that they name.
     pub replicas: &'a BTreeMap<ReplicaKey, Replica>,
     /// Replicas that the list has shown lately, whether it still does or not.
-    pub shown: &'a BTreeSet<ReplicaKey>,
+    pub recently_listed: &'a BTreeSet<ReplicaKey>,
     /// What is known of the engines.
     pub profile: &'a EngineProfile,
     /// Domains of the service, by name.
@@ -19,7 +19,7 @@
     /// Whether callers have sent requests yet; loads are free of limits before.
     pub traffic_seen: bool,
     /// Whether the store serves this node: without it nothing can be planned.
-    pub store_serves: bool,
+    pub store_available: bool,
 }
 
 /// A fabric domain and its listed targets.
--- a/crates/forming/src/lib.rs
+++ b/crates/forming/src/lib.rs
@@ -19,8 +19,7 @@
 
 pub use domain::DomainPlanner;
 pub use interface::{
-    FormingAction, FormingEvent, FormingSettings, FormingView, ListedDomain, OrderCall,
-    Reachability,
+    FormingAction, FormingEvent, FormingSettings, FormingView, ListedDomain, OrderId, Reachability,
 };
-pub use mix::{Balance, DomainPlace, ModelCount, wanted_replicas};
+pub use mix::{Balance, DomainPosition, ModelCount, wanted_replicas};
 pub use record::{DomainRecord, PlannedReplica};
--- a/crates/forming/src/mix/balance.rs
+++ b/crates/forming/src/mix/balance.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether the model that is provided for worst has more here than in another balance.
-    pub fn is_evener_than(&self, other: &Self) -> bool {
+    pub fn is_more_even_than(&self, other: &Self) -> bool {
         let worst = |balance: &Self| balance.parts.first().map_or(0.0, ModelPart::provision);
         worst(self) > worst(other)
     }
--- a/crates/forming/src/mix/mod.rs
+++ b/crates/forming/src/mix/mod.rs
@@ -4,4 +4,4 @@
 mod wanted;
 
 pub use balance::Balance;
-pub use wanted::{DomainPlace, ModelCount, wanted_replicas};
+pub use wanted::{DomainPosition, ModelCount, wanted_replicas};
--- a/crates/forming/src/mix/wanted.rs
+++ b/crates/forming/src/mix/wanted.rs
@@ -17,7 +17,7 @@
 
 /// Which of the service's domains one is, in the order of their names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DomainPlace {
+pub struct DomainPosition {
     /// Its place, from zero.
     pub index: usize,
     /// How many there are.
@@ -32,7 +32,7 @@
 ///
 /// ```
 /// use celeryhaven_fleet::ModelProfile;
-/// use celeryhaven_forming::{DomainPlace, wanted_replicas};
+/// use celeryhaven_forming::{DomainPosition, wanted_replicas};
 /// use celeryhaven_types::ModelName;
 ///
 /// let model = |name: &str, size| ModelProfile {
@@ -45,14 +45,14 @@
 /// };
 /// let models = [model("small", 2), model("large", 4)];
 /// let large = |index| {
-///     wanted_replicas(10, &models, DomainPlace { index, domains: 6 })[0].replicas
+///     wanted_replicas(10, &models, DomainPosition { index, domains: 6 })[0].replicas
 /// };
 /// assert_eq!((0..6).map(large).collect::<Vec<_>>(), [1, 2, 1, 1, 1, 2]);
 /// ```
 pub fn wanted_replicas(
     targets: usize,
     models: &[ModelProfile],
-    place: DomainPlace,
+    place: DomainPosition,
 ) -> Vec<ModelCount> {
     let mut sorted: Vec<&ModelProfile> = models.iter().filter(|model| model.size > 0).collect();
     sorted.sort_by(|a, b| b.size.cmp(&a.size).then_with(|| a.name.cmp(&b.name)));
--- a/crates/forming/src/record/domain_record.rs
+++ b/crates/forming/src/record/domain_record.rs
@@ -32,7 +32,7 @@
 
 impl DomainRecord {
     /// The record as read at a version, with that version filled in where it is the generation.
-    pub fn at(mut self, version: Generation) -> Self {
+    pub fn with_version(mut self, version: Generation) -> Self {
         for planned in &mut self.replicas {
             planned.generation.get_or_insert(version);
         }
--- a/crates/forming/tests/common/mod.rs
+++ b/crates/forming/tests/common/mod.rs
@@ -52,7 +52,7 @@
     pub refuses_stage: BTreeSet<VmName>,
     hidden: BTreeSet<VmName>,
     /// Replicas that the list has shown so far.
-    shown: BTreeSet<ReplicaKey>,
+    recently_listed: BTreeSet<ReplicaKey>,
     /// Probes sent so far.
     pub probes: usize,
     /// Reads of the record so far.
@@ -82,7 +82,7 @@
             delayed: Vec::new(),
             refuses_stage: BTreeSet::new(),
             hidden: BTreeSet::new(),
-            shown: BTreeSet::new(),
+            recently_listed: BTreeSet::new(),
             probes: 0,
             reads: 0,
             listed: FleetView::new(),
@@ -148,7 +148,7 @@
         self.record = self
             .record
             .take()
-            .map(|(before, record)| (revision, record.at(Generation::new(before))));
+            .map(|(before, record)| (revision, record.with_version(Generation::new(before))));
     }
 
     /// A target starts again under its name and holds nothing of before.
@@ -198,8 +198,8 @@
         self.now = self.now.after(STEP_MS);
         self.advance_toys();
         self.listed = self.fleet();
-        self.shown.extend(self.listed.replicas().keys().cloned());
-        self.past.push_back((self.now, self.listed.clone(), self.shown.clone()));
+        self.recently_listed.extend(self.listed.replicas().keys().cloned());
+        self.past.push_back((self.now, self.listed.clone(), self.recently_listed.clone()));
         if self.past.len() > PAST_LISTS {
             self.past.pop_front();
         }
@@ -262,11 +262,12 @@
     fn seen_by(&self, index: usize) -> (FleetView, BTreeSet<ReplicaKey>) {
         let lag_ms = self.list_lag_ms[index];
         if lag_ms == 0 {
-            return (self.fleet(), self.shown.clone());
+            return (self.fleet(), self.recently_listed.clone());
         }
         let mut past = self.past.iter().rev();
         let seen = past.find(|(at, ..)| self.now.since(*at) >= lag_ms);
-        seen.map(|(_, fleet, shown)| (fleet.clone(), shown.clone())).unwrap_or_default()
+        seen.map(|(_, fleet, recently_listed)| (fleet.clone(), recently_listed.clone()))
+            .unwrap_or_default()
     }
 
     fn with_view(
@@ -274,18 +275,18 @@
         index: usize,
         act: impl FnOnce(&mut DomainPlanner, TimeMs, FormingView<'_>),
     ) {
-        let (fleet, shown) = self.seen_by(index);
+        let (fleet, recently_listed) = self.seen_by(index);
         let profile = self.profile.clone();
         let service = ServiceName::new(SERVICE);
         let domains: Vec<_> = fleet.domains(&service).map(ListedDomain::new).collect();
         let view = FormingView {
             fleet: &fleet,
             replicas: fleet.replicas(),
-            shown: &shown,
+            recently_listed: &recently_listed,
             profile: &profile,
             domains: &domains,
             traffic_seen: self.traffic_seen,
-            store_serves: self.store_answers,
+            store_available: self.store_answers,
         };
         act(&mut self.deciders[index], self.now, view);
     }
@@ -301,9 +302,9 @@
             match action {
                 FormingAction::ReadRecord => self.read_record(index),
                 FormingAction::WriteRecord { record } => self.write_record(index, record),
-                FormingAction::Order { call, target, order } => {
+                FormingAction::Order { id, target, order } => {
                     let outcome = self.order(&target, &order);
-                    self.hear(index, FormingEvent::Ordered { call, outcome });
+                    self.hear(index, FormingEvent::OrderCompleted { id, outcome });
                 }
                 FormingAction::Probe { target } => {
                     self.probes += 1;
@@ -311,9 +312,9 @@
                         Some(toy) if toy.alive => Reachability::Answers,
                         _ => Reachability::Silent,
                     };
-                    self.hear(index, FormingEvent::Probed { target, reachability });
+                    self.hear(index, FormingEvent::ProbeCompleted { target, reachability });
                 }
-                FormingAction::Note { .. } => {}
+                FormingAction::LogChange { .. } => {}
             }
         }
     }
@@ -325,7 +326,7 @@
         }
         let (version, record) = match &self.record {
             Some((revision, record)) => {
-                (Some(*revision), record.clone().at(Generation::new(*revision)))
+                (Some(*revision), record.clone().with_version(Generation::new(*revision)))
             }
             None => (None, DomainRecord::default()),
         };
--- a/crates/gateway/src/control/actions.rs
+++ b/crates/gateway/src/control/actions.rs
@@ -1,6 +1,6 @@
 use async_channel::Sender;
 use celeryhaven_fleet::{OrderOutcome, TargetOrder};
-use celeryhaven_forming::{DomainRecord, FormingAction, FormingEvent, OrderCall, Reachability};
+use celeryhaven_forming::{DomainRecord, FormingAction, FormingEvent, OrderId, Reachability};
 use celeryhaven_telemetry::metrics::OutcomeLabel;
 use celeryhaven_types::store::{ObjectVersion, StoreReply};
 use celeryhaven_types::{DomainName, ModelName, ReplicaName, VmName};
@@ -20,11 +20,11 @@
             match action {
                 FormingAction::ReadRecord => self.read_record(domain),
                 FormingAction::WriteRecord { record } => self.write_record(domain, &record),
-                FormingAction::Order { call, target, order } => {
-                    self.order(domain, call, target, order);
+                FormingAction::Order { id, target, order } => {
+                    self.order(domain, id, target, order);
                 }
                 FormingAction::Probe { target } => self.probe(domain, target),
-                FormingAction::Note { replica, change, target } => {
+                FormingAction::LogChange { replica, change, target } => {
                     info!(self.parts.log, "replica"; "replica" => replica.replica.as_str(),
                         "generation" => replica.generation.get(), "change" => change,
                         "domain" => domain.as_str(),
@@ -54,7 +54,7 @@
         self.executor.spawn(write).detach();
     }
 
-    fn order(&self, domain: DomainName, call: OrderCall, target: VmName, order: TargetOrder) {
+    fn order(&self, domain: DomainName, id: OrderId, target: VmName, order: TargetOrder) {
         let address = self.fleet.known(&target).map(|entry| entry.address);
         let (targets, events) = (self.parts.targets.clone(), self.parts.events.0.clone());
         let (orders, log) = (self.parts.metrics.orders.clone(), self.parts.log.clone());
@@ -69,7 +69,7 @@
                 "order" => order.as_str(), "outcome" => outcome.as_str(),
                 "replica" => order.replica().map(ReplicaName::as_str),
                 "model" => order.model().map(ModelName::as_str));
-            let event = FormingEvent::Ordered { call, outcome };
+            let event = FormingEvent::OrderCompleted { id, outcome };
             events.send(ControlEvent::Forming(domain, event)).await.unwrap_or_default();
         };
         self.executor.spawn(send).detach();
@@ -86,7 +86,7 @@
             };
             info!(log, "probe"; "target" => target.as_str(),
                 "reachability" => format!("{reachability:?}"));
-            let event = FormingEvent::Probed { target, reachability };
+            let event = FormingEvent::ProbeCompleted { target, reachability };
             events.send(ControlEvent::Forming(domain, event)).await.unwrap_or_default();
         };
         self.executor.spawn(probe).detach();
--- a/crates/gateway/src/control/deciders.rs
+++ b/crates/gateway/src/control/deciders.rs
@@ -117,7 +117,7 @@
         StoreReply::Found(object) => {
             // A record that cannot be read is written anew; the members' reports tell what is.
             let record: DomainRecord = serde_json::from_str(&object.value).unwrap_or_default();
-            let record = record.at(Generation::new(object.version.get()));
+            let record = record.with_version(Generation::new(object.version.get()));
             (FormingEvent::RecordRead { record }, Some(object.version))
         }
         StoreReply::Missing => (FormingEvent::RecordRead { record: DomainRecord::default() }, None),
--- a/crates/gateway/src/control/deciding.rs
+++ b/crates/gateway/src/control/deciding.rs
@@ -49,7 +49,7 @@
         let mine = all.iter().filter(|_| decides);
         let mine = mine.filter(|domain| self.peers.is_decider(domain, is_cut_off));
         let mine: BTreeSet<DomainName> = mine.map(|&domain| domain.clone()).collect();
-        let settings = FormingSettings::default().with_loads(
+        let settings = FormingSettings::default().with_load_limits(
             profile.loads_per_s,
             profile.loads_at_once,
             all.len(),
@@ -168,5 +168,13 @@
     (traffic_seen, store_serves): (bool, bool),
 ) -> FormingView<'a> {
     let (replicas, shown) = (fleet.replicas(), fleet.shown());
-    FormingView { fleet, replicas, shown, profile, domains, traffic_seen, store_serves }
+    FormingView {
+        fleet,
+        replicas,
+        recently_listed: shown,
+        profile,
+        domains,
+        traffic_seen,
+        store_available: store_serves,
+    }
 }
--- a/crates/gateway/src/control/suspicions.rs
+++ b/crates/gateway/src/control/suspicions.rs
@@ -33,7 +33,7 @@
     fn into_event(self) -> FormingEvent {
         match self {
             Self::StandsStill(replica) => FormingEvent::Suspected { replica },
-            Self::Accused(target) => FormingEvent::Accused { target },
+            Self::Accused(target) => FormingEvent::LossReported { target },
         }
     }
 }
