--- a/crates/forming/src/domain/converting.rs
+++ b/crates/forming/src/domain/converting.rs
@@ -8,78 +8,76 @@
 use crate::interface::{FormingAction, FormingView};
 use crate::mix::Balance;
 
-/// How long a model must have been provided for worst for each target that serving replicas would
-/// give up for it, in milliseconds.
+/// Delay before a conversion for each target that it needs, in milliseconds.
 ///
-/// Every decider sees the same loss at once. The domain that gives up least goes first, and the
-/// list shows what it does to the others within a few hundred milliseconds.
-const WAIT_FOR_TARGET_MS: u64 = 300;
+/// All coordinators see the same loss at once. The domain with the cheapest conversion goes first,
+/// and the others see its closing heads in the target list before their own delay ends.
+const CONVERSION_DELAY_PER_TARGET_MS: u64 = 300;
 
-/// How much longer each domain waits than the one before it in the order of names, in milliseconds.
+/// Further delay of each domain after the one before it in the order of names, in milliseconds.
 ///
-/// Domains that would give up the same all waited the same: three gave up two small replicas each
-/// for the one large replica that was lacking. The list shows a closing head within 100 ms.
-const WAIT_FOR_DOMAIN_MS: u64 = 200;
+/// Keeps domains whose conversions cost the same from converting for the same missing replica.
+const CONVERSION_DELAY_PER_DOMAIN_MS: u64 = 200;
 
-/// What a domain could take apart to complete a replica of another model.
+/// Replicas that could be dissolved to form a replica of another model.
 struct Conversion<'a> {
-    /// Replicas that would go.
-    given_up: Vec<&'a Replica>,
-    /// Targets among theirs that the new replica needs.
+    converted: Vec<&'a Replica>,
+    /// Members of theirs that the new replica needs.
     targets: usize,
 }
 
 impl DomainPlanner {
-    /// Takes replicas of one model apart where that completes one of a model that is provided for
-    /// worse.
+    /// Converts replicas of one model into a replica of a model with lower provision.
     ///
-    /// Load: a large replica loses a member, and the domain has no other that is free. Harm: its
-    /// survivors wait until an empty target has come and loaded, while the small model has replicas
-    /// to spare. Limit: only where the model that is provided for worst has more afterwards, one at a
-    /// time in each domain, and the heads that go finish their work first.
+    /// Handles a large replica that has lost a member in a domain without a free target for it.
+    /// Converts only if that raises the lowest provision, one conversion at a time in each domain.
+    /// The heads finish their requests first.
     pub(crate) fn convert(
         &mut self,
         now: TimeMs,
         view: FormingView<'_>,
         out: &mut Vec<FormingAction>,
     ) {
-        let Some((to, conversion)) = self.conversion(view) else {
-            self.short_since = None;
+        let Some((to, conversion)) = self.cheapest_conversion(view) else {
+            self.conversion_since = None;
             return;
         };
-        let since = match self.short_since.take() {
+        let since = match self.conversion_since.take() {
             Some((model, since)) if model == to => since,
             _ => now,
         };
-        self.short_since = Some((to, since));
-        let place = view.domains.iter().position(|domain| *domain.name == self.domain);
-        let wait_ms = WAIT_FOR_TARGET_MS * conversion.targets as u64
-            + WAIT_FOR_DOMAIN_MS * place.unwrap_or_default() as u64;
+        self.conversion_since = Some((to, since));
+        let position = view.domains.iter().position(|domain| *domain.name == self.domain);
+        let wait_ms = CONVERSION_DELAY_PER_TARGET_MS * conversion.targets as u64
+            + CONVERSION_DELAY_PER_DOMAIN_MS * position.unwrap_or_default() as u64;
         if now.since(since) < wait_ms {
             return;
         }
-        let given_up: Vec<Replica> = conversion.given_up.into_iter().cloned().collect();
-        let keys = given_up.iter().map(|replica| replica.key.clone()).collect();
-        self.converting = self.short_since.take().map(|(model, _)| (model, keys));
-        given_up.iter().for_each(|replica| self.close(now, replica, "given up", out));
+        let converted: Vec<Replica> = conversion.converted.into_iter().cloned().collect();
+        let keys = converted.iter().map(|replica| replica.key.clone()).collect();
+        self.converting = self.conversion_since.take().map(|(model, _)| (model, keys));
+        converted.iter().for_each(|replica| self.close(now, replica, "given up", out));
     }
 
-    /// The model that targets are being freed for, if any are.
+    /// Returns the model of the conversion that is under way, if any.
     ///
-    /// Guards against a conversion that undoes itself: replicas that are given up together end one
-    /// after the other, and the members of the first were planned as the same small replica again.
+    /// Converted replicas close one after the other. Members that are free early must not form a
+    /// replica of their former model again.
     pub(crate) fn converting_to(&self) -> Option<&ModelName> {
-        let (model, given_up) = self.converting.as_ref()?;
-        given_up.iter().any(|key| self.dissolving.contains_key(key)).then_some(model)
+        let (model, converted) = self.converting.as_ref()?;
+        converted.iter().any(|key| self.dissolving.contains_key(key)).then_some(model)
     }
 
-    fn conversion<'a>(&self, view: FormingView<'a>) -> Option<(ModelName, Conversion<'a>)> {
-        let is_calm = self.formations.is_empty() && self.dissolving.is_empty();
-        // What is given up could not be formed anew.
+    fn cheapest_conversion<'a>(
+        &self,
+        view: FormingView<'a>,
+    ) -> Option<(ModelName, Conversion<'a>)> {
+        let is_stable = self.formations.is_empty() && self.dissolving.is_empty();
+        // Without the store, no replica could be formed from the members.
         if !view.store_available {
             return None;
         }
-        if !is_calm || self.serves_callers(view) != Some(true) {
+        if !is_stable || self.serves_callers(view) != Some(true) {
             return None;
         }
         let to = self.balance(view).by_need().next()?.clone();
@@ -90,16 +88,17 @@
         let free = self.free_targets(view);
         let models = balance.by_need().filter(|model| balance.is_uneven(model));
         let possible = models.filter_map(|from| {
-            let conversion = self.give_up(view, &free, &to, from)?;
-            let after = balance.with_conversion(&to, from, conversion.given_up.len());
+            let conversion = self.conversion_from(view, &free, &to, from)?;
+            let after = balance.with_conversion(&to, from, conversion.converted.len());
             after.is_more_even_than(&balance).then_some(conversion)
         });
         let least = possible.min_by_key(|conversion| conversion.targets)?;
         Some((to, least))
     }
 
-    /// The fewest replicas of a model whose members, with free ones, make a replica of another.
-    fn give_up<'a>(
+    /// Returns the first replicas of `from` whose members, with free targets, form a replica of
+    /// `to`.
+    fn conversion_from<'a>(
         &self,
         view: FormingView<'a>,
         free: &[&TargetEntry],
@@ -110,7 +109,7 @@
         let has = |entry: &TargetEntry| warmth(entry, to) != Warmth::Cold;
         let mut targets = size.checked_sub(free.iter().filter(|entry| has(entry)).count())?;
         let needed = targets;
-        let mut given_up = Vec::new();
+        let mut converted = Vec::new();
         for replica in self.open_replicas(view).filter(|r| r.model.as_ref() == Some(from)) {
             if targets == 0 {
                 break;
@@ -120,13 +119,13 @@
             let gain = listed.filter(|entry| has(entry)).count();
             if gain > 0 {
                 targets = targets.saturating_sub(gain);
-                given_up.push(replica);
+                converted.push(replica);
             }
         }
-        (targets == 0 && needed > 0).then_some(Conversion { given_up, targets: needed })
+        (targets == 0 && needed > 0).then_some(Conversion { converted, targets: needed })
     }
 
-    /// Replicas of the domain that serve.
+    /// Returns the serving replicas of the domain.
     pub(crate) fn open_replicas<'a>(
         &self,
         view: FormingView<'a>,
@@ -139,52 +138,54 @@
         })
     }
 
-    /// How all domains together provide for each model.
+    /// Returns the provision of each model over all domains.
     pub(crate) fn balance(&self, view: FormingView<'_>) -> Balance {
-        self.balance_with(view, &self.held(view))
+        self.balance_with(view, &self.current_replicas(view))
     }
 
-    /// How all domains will provide for each model once the replicas that are being given up have
-    /// become some of this one.
+    /// Returns the provision over all domains, assuming that all closing replicas convert to `to`.
     ///
-    /// Guards against domains that all give replicas up for the same need: the list shows what closes
-    /// seconds before it shows what is formed of it.
+    /// The target list shows a closing head seconds before the replica that is formed from its
+    /// members. Without this, several domains would convert for the same shortage.
     fn balance_after_conversions(&self, view: FormingView<'_>, to: &ModelName) -> Option<Balance> {
         let size = view.profile.model(to)?.size;
-        let closing = view.replicas.values().filter(|replica| is_given_up(replica));
+        let closing = view.replicas.values().filter(|replica| is_converting(replica));
         let targets: usize = closing.map(|replica| replica.members.iter().flatten().count()).sum();
-        let mut held = self.held(view);
-        *held.entry(to.clone()).or_default() += targets / size.max(1);
-        Some(self.balance_with(view, &held))
+        let mut current = self.current_replicas(view);
+        *current.entry(to.clone()).or_default() += targets / size.max(1);
+        Some(self.balance_with(view, &current))
     }
 
-    /// How all domains together provide for each model, with so many replicas in this one.
+    /// Returns the provision over all domains, with these replicas in this one.
     pub(crate) fn balance_with(
         &self,
         view: FormingView<'_>,
-        held: &BTreeMap<ModelName, usize>,
+        current: &BTreeMap<ModelName, usize>,
     ) -> Balance {
-        let mut held = held.clone();
-        for (model, replicas) in held_elsewhere(view, self) {
-            *held.entry(model).or_default() += replicas;
+        let mut current = current.clone();
+        for (model, replicas) in replicas_elsewhere(view, self) {
+            *current.entry(model).or_default() += replicas;
         }
-        Balance::new(&view.profile.models, self.usable_everywhere(view), &held)
+        Balance::new(&view.profile.models, self.usable_in_all_domains(view), &current)
     }
 }
 
-/// Replicas of each model that serve or are about to in other domains.
-fn held_elsewhere(view: FormingView<'_>, planner: &DomainPlanner) -> BTreeMap<ModelName, usize> {
-    let mut held = BTreeMap::new();
+/// Returns the replicas of each model that serve or are being formed in other domains.
+fn replicas_elsewhere(
+    view: FormingView<'_>,
+    planner: &DomainPlanner,
+) -> BTreeMap<ModelName, usize> {
+    let mut current = BTreeMap::new();
     let others = view.replicas.values().filter(|r| r.domain.as_ref() != Some(&planner.domain));
     let models = others.filter(|replica| !replica.draining).filter_map(|r| model_of(view, r));
-    models.for_each(|model| *held.entry(model).or_default() += 1);
-    held
+    models.for_each(|model| *current.entry(model).or_default() += 1);
+    current
 }
 
-/// The model that a replica serves or is about to; `None` if it does neither.
+/// Returns the model that a replica serves or is being formed for, or `None` if it does neither.
 ///
-/// A member that joins still names what it served before, so the number of members tells the model
-/// where only one has that size.
+/// A joining member still reports its former model, so the model is taken from the number of
+/// members where that is unambiguous.
 fn model_of(view: FormingView<'_>, replica: &Replica) -> Option<ModelName> {
     match replica.head_state? {
         MemberState::Open => replica.model.clone(),
@@ -200,7 +201,7 @@
     }
 }
 
-/// Whether the head finishes its work although no member leaves.
-fn is_given_up(replica: &Replica) -> bool {
+/// Whether the head is closing although no member is draining.
+fn is_converting(replica: &Replica) -> bool {
     replica.head_state == Some(MemberState::Closing) && !replica.draining
 }
--- a/crates/forming/src/domain/dissolving.rs
+++ b/crates/forming/src/domain/dissolving.rs
@@ -6,23 +6,24 @@
 use crate::interface::{FormingAction, FormingView};
 
 impl DomainPlanner {
-    /// Takes a replica apart: each member is free once it has left.
+    /// Orders all members to leave a replica. Each member is free once it has left.
     ///
-    /// Guards against a target in two replicas. The head may be out of reach and its entry lapsed
-    /// while it still serves behind a cut, so its silence proves nothing. A member that has left
-    /// belongs to nothing, whatever the head believes, and a head without a member answers nothing.
+    /// The head may be unreachable and its entry lapsed while it still serves callers, so a missing
+    /// answer does not prove that it has stopped. It cannot serve without its members, whatever its
+    /// own state, so it is enough that they have left.
     pub(crate) fn dissolve(
         &mut self,
         key: &ReplicaKey,
         members: Vec<VmName>,
         out: &mut Vec<FormingAction>,
     ) {
-        let dissolving = Dissolving { waiting: members.into_iter().collect(), closed_at: None };
+        let dissolving =
+            Dissolving { remaining: members.into_iter().collect(), closing_since: None };
         self.dissolving.insert(key.clone(), dissolving);
         self.order_leaves(key, out);
     }
 
-    /// Goes on with what is being taken apart.
+    /// Advances the replicas that are being dissolved.
     pub(crate) fn advance_dissolving(
         &mut self,
         now: TimeMs,
@@ -34,21 +35,26 @@
         }
     }
 
-    /// Takes over what became of a leave.
-    pub(crate) fn left(&mut self, key: &ReplicaKey, member: &VmName, outcome: OrderOutcome) {
+    /// Applies the outcome of a leave order.
+    pub(crate) fn apply_leave_outcome(
+        &mut self,
+        key: &ReplicaKey,
+        member: &VmName,
+        outcome: OrderOutcome,
+    ) {
         match outcome {
-            // A refusal says that the target is not in this replica any more.
+            // A refusal means that the target is no longer in this replica.
             OrderOutcome::Accepted | OrderOutcome::Refused | OrderOutcome::Gone => {
                 self.left.insert((member.clone(), key.clone()));
             }
             OrderOutcome::Unanswered => {}
         }
         if let Some(dissolving) = self.dissolving.get_mut(key) {
-            dissolving.waiting.remove(member);
+            dissolving.remaining.remove(member);
         }
     }
 
-    /// Lets the members of a broken replica go without a word: it cannot serve any more.
+    /// Marks the members of a broken replica as free without ordering them to leave.
     pub(crate) fn release(&mut self, replica: &Replica) {
         let members = replica.members.iter().flatten();
         self.left.extend(members.map(|member| (member.clone(), replica.key.clone())));
@@ -62,19 +68,19 @@
         out: &mut Vec<FormingAction>,
     ) {
         let Some(dissolving) = self.dissolving.get(key).cloned() else { return };
-        let Some(closed_at) = dissolving.closed_at else {
-            if dissolving.waiting.is_empty() {
+        let Some(closing_since) = dissolving.closing_since else {
+            if dissolving.remaining.is_empty() {
                 self.dissolving.remove(key);
-                self.note(key, "taken apart", None, out);
+                self.log_change(key, "taken apart", None, out);
             }
             return;
         };
         let state = view.replicas.get(key).and_then(|replica| replica.head_state);
-        let waited_ms = now.since(closed_at);
+        let waited_ms = now.since(closing_since);
         let is_closing = match state {
             Some(MemberState::Closing) => waited_ms < self.settings.drain_timeout_ms,
             Some(MemberState::Open) => waited_ms < self.settings.order_retry_ms * 3,
-            // The head leaves without a word: as long as it answers, it may have work.
+            // The head is no longer listed. It may have requests as long as it answers.
             None => {
                 let head = self.planned(key).and_then(|plan| plan.members.first().cloned());
                 let answers = head.is_some_and(|head| self.departing.contains_key(&head));
@@ -83,7 +89,7 @@
             _ => false,
         };
         if !is_closing {
-            let members = dissolving.waiting.iter().cloned().collect();
+            let members = dissolving.remaining.iter().cloned().collect();
             self.dissolve(key, members, out);
         }
     }
@@ -91,7 +97,7 @@
     fn order_leaves(&mut self, key: &ReplicaKey, out: &mut Vec<FormingAction>) {
         let Some(dissolving) = self.dissolving.get(key) else { return };
         let ReplicaKey { replica, generation } = key.clone();
-        for member in dissolving.waiting.clone() {
+        for member in dissolving.remaining.clone() {
             let order = TargetOrder::Leave { replica: replica.clone(), generation };
             self.send(member, order, out);
         }
--- a/crates/forming/src/domain/domain_planner.rs
+++ b/crates/forming/src/domain/domain_planner.rs
@@ -4,28 +4,28 @@
 use celeryhaven_types::{DomainName, Generation, ModelName, NodeName, ReplicaName, TimeMs, VmName};
 
 use crate::domain::formation::{Dissolving, Formation, PendingOrder};
-use crate::domain::loads::Loads;
-use crate::domain::unseen::UnseenPlan;
+use crate::domain::load_limiter::LoadLimiter;
+use crate::domain::unlisted::UnlistedPlan;
 use crate::interface::{FormingAction, FormingEvent, FormingSettings, FormingView, OrderId};
 use crate::record::{DomainRecord, PlannedReplica};
 
-/// What this decider knows of the domain's record.
+/// State of the domain's record as seen by this planner.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RecordState {
-    /// Nothing; it must be read.
+    /// Must be read.
     Unknown,
-    /// It is being read.
+    /// Being read.
     Reading,
-    /// As read or written last.
+    /// Content as last read or written.
     Known(DomainRecord),
-    /// It is being written with these plans new.
+    /// Being written with new plans.
     Writing(DomainRecord),
 }
 
-/// Decides for one fabric domain which targets form which replica.
+/// Plans which targets of one fabric domain form which replica.
 ///
-/// Its owner calls [`step`](Self::step) when the list of targets has changed and a few times a
-/// second, and [`handle`](Self::handle) with what became of its actions.
+/// The caller invokes [`step`](Self::step) when the target list has changed and a few times a
+/// second, and [`handle`](Self::handle) with the results of actions and with suspicions.
 ///
 /// ```
 /// use celeryhaven_forming::{DomainPlanner, FormingSettings};
@@ -33,62 +33,61 @@
 ///
 /// let domain = DomainName::new("rack-1");
 /// let node = NodeName::new("entry-1");
-/// let former = DomainPlanner::new(TimeMs::new(0), domain, node, FormingSettings::default());
-/// assert!(former.is_idle());
+/// let planner = DomainPlanner::new(TimeMs::new(0), domain, node, FormingSettings::default());
+/// assert!(planner.is_idle());
 /// ```
 #[derive(Clone, Debug)]
 pub struct DomainPlanner {
     pub(crate) domain: DomainName,
     pub(crate) node: NodeName,
-    /// Tells this decider's names of replicas from those of one that the node had before.
+    /// Makes the replica names of this planner distinct from those of the node's earlier planners.
     pub(crate) instance: u64,
     pub(crate) settings: FormingSettings,
     pub(crate) record: RecordState,
-    /// When the record is read again after a read that failed.
-    pub(crate) read_again_at: TimeMs,
+    /// Earliest time of the next read after a failed one.
+    pub(crate) record_retry_at: TimeMs,
     pub(crate) formations: BTreeMap<ReplicaKey, Formation>,
     pub(crate) dissolving: BTreeMap<ReplicaKey, Dissolving>,
-    /// Targets that have left a replica which the list still shows them in.
+    /// Targets that have left a replica in which the target list still shows them.
     pub(crate) left: BTreeSet<(VmName, ReplicaKey)>,
-    /// When another decider's unfinished replica was first seen.
+    /// When another coordinator's unfinished replica was first seen.
     pub(crate) unfinished: BTreeMap<ReplicaKey, TimeMs>,
-    /// Unreachable targets, and when each is probed next.
+    /// Unreachable targets and the time of their next probe.
     pub(crate) unreachable: BTreeMap<VmName, TimeMs>,
-    /// Members whose entry was removed, and when each is probed next; `true` once one answered.
+    /// Members whose entry was removed, the time of their next probe, and whether one was answered.
     pub(crate) departing: BTreeMap<VmName, (TimeMs, bool)>,
     pub(crate) staging: BTreeMap<VmName, (ModelName, TimeMs)>,
-    /// Targets that have refused to stage, until when they are not asked again, and how long that
-    /// was, in milliseconds.
-    pub(crate) unstageable: BTreeMap<VmName, (TimeMs, u64)>,
+    /// Targets that refused to stage: when they may be asked again, and the pause in milliseconds.
+    pub(crate) stage_backoff: BTreeMap<VmName, (TimeMs, u64)>,
     pub(crate) pending: BTreeMap<OrderId, PendingOrder>,
-    pub(crate) loads: Loads,
-    /// Plans of this decider whose write got no answer.
+    pub(crate) load_limiter: LoadLimiter,
+    /// Plans of this planner whose write has no confirmed result.
     pub(crate) unconfirmed: BTreeSet<ReplicaName>,
-    /// The highest generation of a plan in the record, as it was read or written last.
+    /// The highest generation in the record as last read or written.
     pub(crate) planned_generation: Generation,
-    /// Plans of others that no member names yet.
-    pub(crate) unseen: BTreeMap<ReplicaName, UnseenPlan>,
-    /// Plans of the record that were unseen and that nothing may be in any more.
+    /// Plans of other coordinators that the target list does not show yet.
+    pub(crate) unlisted_plans: BTreeMap<ReplicaName, UnlistedPlan>,
+    /// Plans of the record that were unlisted and that no target can be in any more.
     pub(crate) resolved: BTreeSet<ReplicaName>,
-    /// A model that another could be given up for, and since when.
-    pub(crate) short_since: Option<(ModelName, TimeMs)>,
-    /// The model that replicas were given up for last, and which.
+    /// The model that a conversion is possible for, and since when.
+    pub(crate) conversion_since: Option<(ModelName, TimeMs)>,
+    /// The model of the latest conversion and the replicas that it dissolves.
     pub(crate) converting: Option<(ModelName, Vec<ReplicaKey>)>,
-    pub(crate) next_call: OrderId,
-    pub(crate) next_name: u64,
+    pub(crate) next_order_id: OrderId,
+    pub(crate) next_replica_number: u64,
 }
 
 impl DomainPlanner {
-    /// A decider that knows nothing yet.
+    /// Creates a planner that has not read the domain's record yet.
     pub fn new(now: TimeMs, domain: DomainName, node: NodeName, settings: FormingSettings) -> Self {
-        let loads = Loads::new(now, settings.loads_per_s, settings.load_burst_max);
+        let load_limiter = LoadLimiter::new(now, settings.loads_per_s, settings.load_burst_max);
         Self {
             domain,
             node,
             instance: 0,
             settings,
             record: RecordState::Unknown,
-            read_again_at: now,
+            record_retry_at: now,
             formations: BTreeMap::new(),
             dissolving: BTreeMap::new(),
             left: BTreeSet::new(),
@@ -96,60 +95,60 @@
             unreachable: BTreeMap::new(),
             departing: BTreeMap::new(),
             staging: BTreeMap::new(),
-            unstageable: BTreeMap::new(),
+            stage_backoff: BTreeMap::new(),
             pending: BTreeMap::new(),
-            loads,
+            load_limiter,
             unconfirmed: BTreeSet::new(),
             planned_generation: Generation::default(),
-            unseen: BTreeMap::new(),
+            unlisted_plans: BTreeMap::new(),
             resolved: BTreeSet::new(),
-            short_since: None,
+            conversion_since: None,
             converting: None,
-            next_call: OrderId::default(),
-            next_name: 0,
+            next_order_id: OrderId::default(),
+            next_replica_number: 0,
         }
     }
 
-    /// Puts a number into the names of its replicas that no decider of this node had before.
+    /// Sets a number that is unique among the planners of this node and part of replica names.
     ///
-    /// Guards against a name that is used twice: a node that takes a domain back counts from one
-    /// again, and an old plan in the record, or a replica in the list, passes for the new one.
+    /// Without it, a node that coordinates a domain again would reuse names, and could take an old
+    /// plan in the record or a listed replica for a new one.
     pub fn with_instance(mut self, instance: u64) -> Self {
         self.instance = instance;
         self
     }
 
-    /// Takes over settings that follow the configuration.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: FormingSettings) {
-        self.loads.set_rate(settings.loads_per_s);
+        self.load_limiter.set_rate(settings.loads_per_s);
         self.settings = settings;
     }
 
-    /// Whether nothing is being formed or taken apart.
+    /// Whether no replica is being formed or dissolved and no order is pending.
     pub fn is_idle(&self) -> bool {
         self.formations.is_empty() && self.dissolving.is_empty() && self.pending.is_empty()
     }
 
-    /// Looks at the list of targets and appends what is to be done.
+    /// Evaluates the target list and appends the resulting actions.
     pub fn step(&mut self, now: TimeMs, view: FormingView<'_>, out: &mut Vec<FormingAction>) {
-        if self.record == RecordState::Unknown && self.read_again_at <= now {
+        if self.record == RecordState::Unknown && self.record_retry_at <= now {
             self.record = RecordState::Reading;
             out.push(FormingAction::ReadRecord);
         }
-        self.forget_unlisted(view);
-        self.retract_unseen(now, view, out);
+        self.drop_unlisted_state(view);
+        self.retract_unlisted_plans(now, view, out);
         self.probe_unreachable(now, out);
-        self.send_again(now, out);
-        self.judge_replicas(now, view, out);
+        self.retry_orders(now, out);
+        self.evaluate_replicas(now, view, out);
         self.advance_dissolving(now, view, out);
         self.convert(now, view, out);
         if matches!(self.record, RecordState::Known(_)) {
             self.plan(view, out);
         }
-        self.stage_free(now, view, out);
+        self.stage_free_targets(now, view, out);
     }
 
-    /// Takes one event and appends what is to be done at once.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(
         &mut self,
         now: TimeMs,
@@ -164,22 +163,25 @@
                     let new = record.replicas.iter().filter(|plan| plan.generation.is_none());
                     let new: Vec<PlannedReplica> = new.cloned().collect();
                     self.record = RecordState::Known(record.clone().with_version(generation));
-                    new.iter().for_each(|plan| self.begin(now, view, plan, generation, out));
+                    new.iter()
+                        .for_each(|plan| self.begin_formation(now, view, plan, generation, out));
                     self.unconfirmed.clear();
                     self.planned_generation = generation;
                 }
             }
             FormingEvent::RecordFailed => self.record_failed(now),
-            FormingEvent::OrderCompleted { id, outcome } => self.ordered(now, id, outcome, out),
+            FormingEvent::OrderCompleted { id, outcome } => {
+                self.apply_order_outcome(now, id, outcome, out);
+            }
             FormingEvent::ProbeCompleted { target, reachability } => {
-                self.probed(now, target, reachability);
+                self.apply_probe_result(now, target, reachability);
             }
-            FormingEvent::Suspected { replica } => self.suspected(view, &replica, out),
+            FormingEvent::Suspected { replica } => self.probe_suspected(view, &replica, out),
             FormingEvent::LossReported { target } => out.push(FormingAction::Probe { target }),
         }
     }
 
-    pub(crate) fn note(
+    pub(crate) fn log_change(
         &self,
         replica: &ReplicaKey,
         change: &'static str,
@@ -190,23 +192,21 @@
         out.push(FormingAction::LogChange { replica, change, target });
     }
 
-    /// Reads the record anew: at once after a write that met a newer one, later after a read.
+    /// Schedules a read of the record: at once after a failed write, after a pause otherwise.
     ///
-    /// Load: the store turns calls away at once. Harm: each refused read led to the next, and all
-    /// count against the rate that the nodes share. Limit: half a second.
+    /// The pause keeps a store that rejects calls from being called in a tight loop.
     fn record_failed(&mut self, now: TimeMs) {
         if self.record == RecordState::Reading {
-            self.read_again_at = now.after(self.settings.record_retry_ms);
+            self.record_retry_at = now.after(self.settings.record_retry_ms);
         }
         self.record = RecordState::Unknown;
     }
 
-    /// Takes over the record, and goes on with own plans whose write got no answer.
+    /// Applies the record as read, and continues own plans whose write had no confirmed result.
     ///
-    /// Guards against two plans for the same targets: those of another decider show in the record
-    /// before any member names them, so their members count as taken for a while. A replica that the
-    /// list has shown before is not new: without that, each change of the decider kept the members
-    /// of all that had been taken apart idle for as long.
+    /// The record shows another coordinator's plans before the target list does, so their members
+    /// count as taken for a while. Replicas that the list has shown are not new: their members need
+    /// no such wait.
     fn record_read(
         &mut self,
         now: TimeMs,
@@ -218,12 +218,12 @@
         let newest = record.replicas.iter().filter_map(|plan| plan.generation).max();
         self.resolved.retain(|name| record.replicas.iter().any(|plan| plan.replica == *name));
         for plan in &record.replicas {
-            // One that was there before the write is not what the write has planned.
+            // A plan that was in the record before the write is not the one written.
             let is_new = plan.generation > Some(self.planned_generation);
             if is_new && self.unconfirmed.contains(&plan.replica) {
                 confirmed.push(plan.clone());
-            } else if !is_shown(view, plan) && !self.is_forming(&plan.replica) {
-                self.note_unseen(now, plan);
+            } else if !was_listed(view, plan) && !self.is_forming(&plan.replica) {
+                self.track_unlisted_plan(now, plan);
             }
         }
         self.unconfirmed.clear();
@@ -231,18 +231,18 @@
         self.record = RecordState::Known(record);
         for plan in &confirmed {
             let generation = plan.generation.unwrap_or_default();
-            self.begin(now, view, plan, generation, out);
+            self.begin_formation(now, view, plan, generation, out);
         }
     }
 
-    /// Forgets what is remembered of targets and replicas that nobody lists any more.
-    fn forget_unlisted(&mut self, view: FormingView<'_>) {
+    /// Drops the state of targets and replicas that are no longer listed.
+    fn drop_unlisted_state(&mut self, view: FormingView<'_>) {
         self.unreachable.retain(|name, _| view.fleet.known(name).is_some());
         self.departing.retain(|name, _| {
             view.fleet.known(name).is_some() && view.fleet.target(name).is_none()
         });
         self.staging.retain(|name, _| view.fleet.target(name).is_some());
-        self.unstageable.retain(|name, _| view.fleet.target(name).is_some());
+        self.stage_backoff.retain(|name, _| view.fleet.target(name).is_some());
         self.left.retain(|(name, key)| {
             let member = view.fleet.target(name).and_then(|entry| entry.membership.as_ref());
             member.is_some_and(|member| {
@@ -251,19 +251,19 @@
         });
         self.unfinished.retain(|key, _| view.replicas.contains_key(key));
         self.dissolving.retain(|key, dissolving| {
-            let is_leaving = dissolving.closed_at.is_none() && !dissolving.waiting.is_empty();
+            let is_leaving = dissolving.closing_since.is_none() && !dissolving.remaining.is_empty();
             is_leaving || view.replicas.contains_key(key)
         });
     }
 
-    /// Whether this decider forms a replica of this name.
+    /// Whether this planner is forming a replica of this name.
     pub(crate) fn is_forming(&self, replica: &ReplicaName) -> bool {
         self.formations.keys().any(|key| key.replica == *replica)
     }
 }
 
-/// Whether the list shows a planned replica, or has shown it.
-fn is_shown(view: FormingView<'_>, plan: &PlannedReplica) -> bool {
+/// Whether a planned replica is listed or was listed recently.
+fn was_listed(view: FormingView<'_>, plan: &PlannedReplica) -> bool {
     let replica = plan.replica.clone();
     let first = ReplicaKey { replica, generation: Generation::default() };
     let listed = view.replicas.range(&first..).next().map(|(key, _)| key);
--- a/crates/forming/src/domain/formation.rs
+++ b/crates/forming/src/domain/formation.rs
@@ -3,33 +3,33 @@
 use celeryhaven_fleet::ReplicaKey;
 use celeryhaven_types::{ModelName, TimeMs, VmName};
 
-/// A replica that this decider is forming.
+/// A replica that is being formed.
 #[derive(Clone, Debug)]
 pub(crate) struct Formation {
     pub(crate) key: ReplicaKey,
     pub(crate) model: ModelName,
     pub(crate) members: Vec<VmName>,
-    pub(crate) give_up_at: TimeMs,
+    pub(crate) deadline: TimeMs,
     /// Members that have accepted their join.
     pub(crate) accepted: Vec<VmName>,
     pub(crate) open_sent: bool,
 }
 
-/// An order whose outcome is waited for, or that is sent again later.
+/// An order whose outcome is pending, or that is due to be sent again.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingOrder {
     pub(crate) target: VmName,
     pub(crate) order: celeryhaven_fleet::TargetOrder,
-    pub(crate) tries: u32,
-    /// When to send it again; `None` while its outcome is waited for.
-    pub(crate) again_at: Option<TimeMs>,
+    pub(crate) attempts: u32,
+    /// When to send it again, or `None` while an attempt is in flight.
+    pub(crate) retry_at: Option<TimeMs>,
 }
 
-/// A replica that is being taken apart.
+/// A replica that is being dissolved.
 #[derive(Clone, Debug)]
 pub(crate) struct Dissolving {
     /// Members whose leave has no outcome yet.
-    pub(crate) waiting: BTreeSet<VmName>,
-    /// When its head was told to finish its work; `None` once the members leave.
-    pub(crate) closed_at: Option<TimeMs>,
+    pub(crate) remaining: BTreeSet<VmName>,
+    /// When the head was ordered to close, or `None` once the members are ordered to leave.
+    pub(crate) closing_since: Option<TimeMs>,
 }
--- a/crates/forming/src/domain/free.rs
+++ b/crates/forming/src/domain/free.rs
@@ -6,14 +6,14 @@
 use crate::interface::FormingView;
 use crate::record::PlannedReplica;
 
-/// How fast a free target can serve a model; the least is the fastest.
+/// How fast a free target can serve a model, the fastest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Warmth {
-    /// It served the model last.
+    /// The target served the model last.
     Served,
-    /// The model is staged on its host.
+    /// The model is staged on the target's host.
     Staged,
-    /// Neither.
+    /// The model must be loaded from the weights store.
     Cold,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl DomainPlanner {
-    /// Targets that may join a replica now, by name.
+    /// Returns the targets that can join a replica now, by name.
     pub(crate) fn free_targets<'a>(&self, view: FormingView<'a>) -> Vec<&'a TargetEntry> {
         let taken = self.taken();
         self.targets_of_domain(view)
@@ -39,7 +39,7 @@
             .collect()
     }
 
-    /// Listed targets of the domain, by name.
+    /// Returns the listed targets of the domain, by name.
     pub(crate) fn targets_of_domain<'a>(
         &self,
         view: FormingView<'a>,
@@ -49,14 +49,14 @@
         names.filter_map(move |name| view.fleet.target(name))
     }
 
-    /// Targets of the domain that can be members at all.
+    /// Returns the number of targets of the domain that can be members.
     pub(crate) fn usable_targets(&self, view: FormingView<'_>) -> usize {
         let ready = self.targets_of_domain(view).filter(|e| e.phase == TargetPhase::Ready);
         ready.filter(|entry| !self.unreachable.contains_key(&entry.name)).count()
     }
 
-    /// Targets of all domains that can be members at all.
-    pub(crate) fn usable_everywhere(&self, view: FormingView<'_>) -> usize {
+    /// Returns the number of targets of all domains that can be members.
+    pub(crate) fn usable_in_all_domains(&self, view: FormingView<'_>) -> usize {
         let ready: usize = view.domains.iter().map(|domain| domain.targets.ready()).sum();
         let elsewhere = ready - self.ready_targets(view);
         elsewhere + self.usable_targets(view)
@@ -74,21 +74,21 @@
         })
     }
 
-    /// Targets that a formation or a plan already counts on.
+    /// Returns the targets that a formation, a plan or a pending leave includes.
     fn taken(&self) -> Set<VmName> {
         let forming = self.formations.values().flat_map(|formation| formation.members.iter());
-        let unseen = self.unseen.values().flat_map(|unseen| unseen.unresolved.iter());
-        let leaving = self.dissolving.values().flat_map(|dissolving| dissolving.waiting.iter());
+        let unlisted = self.unlisted_plans.values().flat_map(|unlisted| unlisted.unresolved.iter());
+        let leaving = self.dissolving.values().flat_map(|dissolving| dissolving.remaining.iter());
         forming
-            .chain(unseen)
+            .chain(unlisted)
             .chain(leaving)
-            .chain(self.being_planned().flat_map(|plan| plan.members.iter()))
+            .chain(self.plans_being_written().flat_map(|plan| plan.members.iter()))
             .cloned()
             .collect()
     }
 
-    /// Plans that are being written.
-    pub(crate) fn being_planned(&self) -> impl Iterator<Item = &PlannedReplica> {
+    /// Returns the new plans of a write that is under way.
+    pub(crate) fn plans_being_written(&self) -> impl Iterator<Item = &PlannedReplica> {
         let plans = match &self.record {
             RecordState::Writing(record) => record.replicas.as_slice(),
             _ => &[],
--- a/crates/forming/src/domain/mod.rs
+++ b/crates/forming/src/domain/mod.rs
@@ -1,18 +1,18 @@
-//! The state machine of one domain's decider.
+//! The state machine of a domain's coordinator.
 
 mod converting;
 mod dissolving;
 mod domain_planner;
 mod formation;
 mod free;
-mod loads;
+mod load_limiter;
 mod needs;
 mod orders;
 mod planning;
-mod reach;
+mod probing;
 mod replicas;
 mod second_models;
 mod staging;
-mod unseen;
+mod unlisted;
 
 pub use domain_planner::DomainPlanner;
--- a/crates/forming/src/domain/needs.rs
+++ b/crates/forming/src/domain/needs.rs
@@ -3,44 +3,40 @@
 
 use crate::mix::ModelCount;
 
-/// Members that a domain may lose while a load of many seconds is under way.
-///
-/// A load takes as long as it takes for one or two of a domain's targets to be lost where losses are
-/// steady.
-const LOSSES_PER_LOAD: f64 = 1.5;
+/// Targets that a domain is expected to lose while one model is loaded.
+const EXPECTED_LOSSES_PER_LOAD: f64 = 1.5;
 
-/// So many free targets should have this model.
+/// A number of free targets that should have a model.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Need {
     pub(crate) model: ModelName,
     pub(crate) targets: usize,
-    /// Whether they make a replica; else they are spares.
+    /// Whether the targets form a replica. They are spares otherwise.
     pub(crate) is_replica: bool,
 }
 
-/// What a domain's free targets should have staged, the most worth a load first.
+/// Iterates over the models that the free targets of a domain should have, in order of benefit.
 ///
-/// Load: losses and empty targets that come faster than the weights store loads. Harm: every load
-/// that does not make a replica whole keeps one waiting that would. Limit: replicas come in the
-/// order of the targets that serve again for each second of loading, then spares.
+/// Loads are scarce when targets are lost faster than the weights store can load models. Replicas
+/// come first, by the targets brought back into service per second of loading, then spares.
 #[derive(Clone, Debug)]
 pub(crate) struct Needs {
     wanted: Vec<ModelCount>,
     load_ms: Vec<u64>,
-    /// Replicas of each model that are still to be counted.
+    /// Replicas of each model that are missing and not reserved yet.
     missing: Vec<usize>,
     spares: Vec<u32>,
-    /// Free targets that nothing counts on yet.
-    room: usize,
+    /// Free targets that are not reserved yet.
+    free: usize,
 }
 
 impl Needs {
-    /// The needs of a domain that wants these replicas, lacks some and has so many free targets.
+    /// Creates the needs of a domain from its wanted and missing replicas and its free targets.
     pub(crate) fn new(
         wanted: Vec<ModelCount>,
         missing: impl Fn(&ModelCount) -> usize,
         profile: &EngineProfile,
-        room: usize,
+        free: usize,
     ) -> Self {
         let load_ms =
             |count: &ModelCount| profile.model(&count.model).map_or(1, |model| model.load_ms);
@@ -49,30 +45,30 @@
             load_ms: wanted.iter().map(load_ms).collect(),
             spares: vec![0; wanted.len()],
             wanted,
-            room,
+            free,
         }
     }
 
-    /// The next need; `warm` tells how many targets that nothing counts on have a model.
+    /// Returns the next need. `warm` returns how many unreserved targets have a model.
     pub(crate) fn next(&mut self, warm: impl Fn(&ModelName) -> usize) -> Option<Need> {
-        if let Some(index) = self.nearest(warm) {
+        if let Some(index) = self.best_replica(warm) {
             self.missing[index] -= 1;
-            return Some(self.count_on(index, self.wanted[index].size, true));
+            return Some(self.reserve(index, self.wanted[index].size, true));
         }
-        let index = self.most_useful_spare()?;
+        let index = self.best_spare()?;
         self.spares[index] += 1;
-        Some(self.count_on(index, 1, false))
+        Some(self.reserve(index, 1, false))
     }
 
-    fn count_on(&mut self, index: usize, targets: usize, is_replica: bool) -> Need {
-        self.room -= targets;
+    fn reserve(&mut self, index: usize, targets: usize, is_replica: bool) -> Need {
+        self.free -= targets;
         Need { model: self.wanted[index].model.clone(), targets, is_replica }
     }
 
-    /// The model whose next replica brings the most targets back for each second of loading.
-    fn nearest(&self, warm: impl Fn(&ModelName) -> usize) -> Option<usize> {
+    /// Returns the model whose next replica restores the most targets per second of loading.
+    fn best_replica(&self, warm: impl Fn(&ModelName) -> usize) -> Option<usize> {
         let fits = |&index: &usize| {
-            self.missing[index] > 0 && (1..=self.room).contains(&self.wanted[index].size)
+            self.missing[index] > 0 && (1..=self.free).contains(&self.wanted[index].size)
         };
         let gain = |index: usize| {
             let count = &self.wanted[index];
@@ -85,25 +81,27 @@
         most.map(|(index, _)| index)
     }
 
-    /// The model whose next spare saves the most: its replicas stand still for want of one member,
-    /// and the larger they are the more targets stand still with it.
-    fn most_useful_spare(&self) -> Option<usize> {
-        if self.room == 0 {
+    /// Returns the model whose next spare is expected to avoid the most idle targets.
+    ///
+    /// Members of a replica that lacks one member are idle, so spares of large models avoid more.
+    fn best_spare(&self) -> Option<usize> {
+        if self.free == 0 {
             return None;
         }
         let members = |count: &ModelCount| (count.replicas * count.size) as f64;
         let all: f64 = self.wanted.iter().map(members).sum();
         let saved = |(count, &spares): (&ModelCount, &u32)| {
             let part = members(count) / all.max(1.0);
-            chance_of_more(LOSSES_PER_LOAD * part, spares) * count.size.saturating_sub(1) as f64
+            poisson_tail(EXPECTED_LOSSES_PER_LOAD * part, spares)
+                * count.size.saturating_sub(1) as f64
         };
         let saved: Vec<f64> = self.wanted.iter().zip(&self.spares).map(saved).collect();
         (0..saved.len()).max_by(|&a, &b| saved[a].total_cmp(&saved[b]).then(b.cmp(&a)))
     }
 }
 
-/// Chance of more than so many losses where this many are expected (Poisson).
-fn chance_of_more(expected: f64, losses: u32) -> f64 {
+/// Returns the probability of more than `losses` losses, by a Poisson distribution.
+fn poisson_tail(expected: f64, losses: u32) -> f64 {
     let mut term = (-expected).exp();
     let mut up_to = term;
     for number in 1..=losses {
--- a/crates/forming/src/domain/orders.rs
+++ b/crates/forming/src/domain/orders.rs
@@ -6,35 +6,35 @@
 use crate::interface::FormingAction;
 
 impl DomainPlanner {
-    /// Sends an order and waits for its outcome.
+    /// Sends an order and records it as pending.
     pub(crate) fn send(
         &mut self,
         target: VmName,
         order: TargetOrder,
         out: &mut Vec<FormingAction>,
     ) {
-        let id = self.next_call;
-        self.next_call = id.next();
-        let (again, name) = (order.clone(), target.clone());
-        let pending = PendingOrder { target: name, order: again, tries: 1, again_at: None };
+        let id = self.next_order_id;
+        self.next_order_id = id.next();
+        let (stored, name) = (order.clone(), target.clone());
+        let pending = PendingOrder { target: name, order: stored, attempts: 1, retry_at: None };
         self.pending.insert(id, pending);
         out.push(FormingAction::Order { id, target, order });
     }
 
-    /// Sends again what got no answer; every order holds when it is carried out twice.
-    pub(crate) fn send_again(&mut self, now: TimeMs, out: &mut Vec<FormingAction>) {
+    /// Sends unanswered orders again once their retry is due. Every order is idempotent.
+    pub(crate) fn retry_orders(&mut self, now: TimeMs, out: &mut Vec<FormingAction>) {
         for (&id, pending) in &mut self.pending {
-            if pending.again_at.is_some_and(|at| at <= now) {
-                pending.again_at = None;
-                pending.tries += 1;
+            if pending.retry_at.is_some_and(|at| at <= now) {
+                pending.retry_at = None;
+                pending.attempts += 1;
                 let (target, order) = (pending.target.clone(), pending.order.clone());
                 out.push(FormingAction::Order { id, target, order });
             }
         }
     }
 
-    /// Takes over what became of an order.
-    pub(crate) fn ordered(
+    /// Applies the outcome of an order.
+    pub(crate) fn apply_order_outcome(
         &mut self,
         now: TimeMs,
         id: crate::OrderId,
@@ -42,11 +42,11 @@
         out: &mut Vec<FormingAction>,
     ) {
         let Some(pending) = self.pending.remove(&id) else { return };
-        let wanted = self.is_wanted(&pending);
+        let wanted = self.is_still_needed(&pending);
         if outcome == OrderOutcome::Unanswered && wanted {
-            if pending.tries < self.settings.order_attempts_max {
-                let again_at = Some(now.after(self.settings.order_retry_ms));
-                self.pending.insert(id, PendingOrder { again_at, ..pending });
+            if pending.attempts < self.settings.order_attempts_max {
+                let retry_at = Some(now.after(self.settings.order_retry_ms));
+                self.pending.insert(id, PendingOrder { retry_at, ..pending });
                 return;
             }
             self.unreachable.insert(pending.target.clone(), now);
@@ -57,7 +57,7 @@
         match &pending.order {
             TargetOrder::Join { replica, generation, .. } => {
                 let key = key(replica, *generation);
-                self.joined(now, &key, &pending.target, outcome, out);
+                self.apply_join_outcome(now, &key, &pending.target, outcome, out);
             }
             TargetOrder::Open { replica, generation } => {
                 let key = key(replica, *generation);
@@ -67,11 +67,11 @@
             }
             TargetOrder::Leave { replica, generation } => {
                 let key = key(replica, *generation);
-                self.left(&key, &pending.target, outcome);
+                self.apply_leave_outcome(&key, &pending.target, outcome);
             }
             TargetOrder::Stage { .. } => {
                 if outcome == OrderOutcome::Accepted {
-                    self.unstageable.remove(&pending.target);
+                    self.stage_backoff.remove(&pending.target);
                 } else {
                     self.stage_failed(now, &pending.target);
                 }
@@ -80,7 +80,7 @@
         }
     }
 
-    fn is_wanted(&self, pending: &PendingOrder) -> bool {
+    fn is_still_needed(&self, pending: &PendingOrder) -> bool {
         match &pending.order {
             TargetOrder::Join { replica, generation, .. }
             | TargetOrder::Open { replica, generation } => {
--- a/crates/forming/src/domain/planning.rs
+++ b/crates/forming/src/domain/planning.rs
@@ -11,15 +11,15 @@
 use crate::record::{DomainRecord, PlannedReplica};
 
 impl DomainPlanner {
-    /// Plans replicas of free targets, and writes the plan down before any target hears of it.
+    /// Plans replicas of free targets and writes the plans to the record before any order is sent.
     pub(crate) fn plan(&mut self, view: FormingView<'_>, out: &mut Vec<FormingAction>) {
         let mut free = self.free_targets(view);
         let wanted = self.wanted(view);
-        let mut held = self.held(view);
+        let mut current = self.current_replicas(view);
         let mut plans = Vec::new();
-        while let Some((model, members)) = self.next_replica(view, &wanted, &held, &free) {
+        while let Some((model, members)) = self.next_replica(view, &wanted, &current, &free) {
             free.retain(|entry| !members.contains(&entry.name));
-            *held.entry(model.clone()).or_default() += 1;
+            *current.entry(model.clone()).or_default() += 1;
             plans.push(self.new_plan(model, members));
         }
         if plans.is_empty() {
@@ -27,8 +27,8 @@
         }
         self.unconfirmed = plans.iter().map(|plan| plan.replica.clone()).collect();
         let RecordState::Known(record) = &self.record else { return };
-        let kept = record.replicas.iter().filter(|plan| self.may_exist(view, plan));
-        let replicas = kept.cloned().chain(plans).collect();
+        let existing = record.replicas.iter().filter(|plan| self.may_exist(view, plan));
+        let replicas = existing.cloned().chain(plans).collect();
         let decider = Some(self.node.clone());
         let serves_callers = self.serves_callers(view) == Some(true);
         let record = DomainRecord { decider, serves_callers, replicas };
@@ -36,54 +36,54 @@
         out.push(FormingAction::WriteRecord { record });
     }
 
-    /// Replicas of each model that this domain should hold.
+    /// Returns how many replicas of each model this domain should have.
     pub(crate) fn wanted(&self, view: FormingView<'_>) -> Vec<ModelCount> {
         let index = view.domains.iter().position(|domain| *domain.name == self.domain);
-        let place =
+        let position =
             DomainPosition { index: index.unwrap_or_default(), domains: view.domains.len() };
-        wanted_replicas(self.usable_targets(view), &view.profile.models, place)
+        wanted_replicas(self.usable_targets(view), &view.profile.models, position)
     }
 
-    /// Replicas of each model that serve or are about to.
-    pub(crate) fn held(&self, view: FormingView<'_>) -> BTreeMap<ModelName, usize> {
-        let mut held = BTreeMap::new();
+    /// Returns how many replicas of each model serve or are being formed in this domain.
+    pub(crate) fn current_replicas(&self, view: FormingView<'_>) -> BTreeMap<ModelName, usize> {
+        let mut current = BTreeMap::new();
         let own = view.replicas.values().filter(|r| r.domain.as_ref() == Some(&self.domain));
         for replica in own {
-            let gone = self.left.iter().any(|(_, key)| *key == replica.key)
+            let excluded = self.left.iter().any(|(_, key)| *key == replica.key)
                 || self.dissolving.contains_key(&replica.key)
                 || self.formations.contains_key(&replica.key)
                 || replica.head_state == Some(MemberState::Broken);
-            if let (false, Some(model)) = (gone, &replica.model) {
-                *held.entry(model.clone()).or_default() += 1;
+            if let (false, Some(model)) = (excluded, &replica.model) {
+                *current.entry(model.clone()).or_default() += 1;
             }
         }
         let forming = self.formations.values().map(|formation| &formation.model);
-        for model in forming.chain(self.being_planned().map(|plan| &plan.model)) {
-            *held.entry(model.clone()).or_default() += 1;
+        for model in forming.chain(self.plans_being_written().map(|plan| &plan.model)) {
+            *current.entry(model.clone()).or_default() += 1;
         }
-        held
+        current
     }
 
-    /// The next replica worth forming, with its members.
+    /// Returns the model and members of the next replica to form.
     fn next_replica(
         &self,
         view: FormingView<'_>,
         wanted: &[ModelCount],
-        held: &BTreeMap<ModelName, usize>,
+        current: &BTreeMap<ModelName, usize>,
         free: &[&TargetEntry],
     ) -> Option<(ModelName, Vec<VmName>)> {
         if self.serves_callers(view) == Some(true) {
-            return self.next_by_need(view, wanted, held, free);
+            return self.next_by_need(view, wanted, current, free);
         }
         let missing = |count: &&ModelCount| {
-            held.get(&count.model).copied().unwrap_or_default() < count.replicas
+            current.get(&count.model).copied().unwrap_or_default() < count.replicas
         };
         let mut short = wanted.iter().filter(missing).chain(wanted.iter().rev());
-        let warm = short.find_map(|count| pick(free, count, Warmth::Staged));
+        let warm = short.find_map(|count| select_members(free, count, Warmth::Staged));
         if warm.is_some() {
             return warm;
         }
-        // Loads are cheap before callers come; later a target is staged first and joins warm.
+        // Once callers are served, targets stage the model first and join warm.
         let forming = self.formations.values().any(|formation| !self.is_warm(view, formation));
         if self.serves_callers(view) != Some(false) || forming {
             return None;
@@ -92,41 +92,41 @@
             .iter()
             .rev()
             .filter(missing)
-            .find(|count| held.get(&count.model).copied().unwrap_or_default() == 0);
+            .find(|count| current.get(&count.model).copied().unwrap_or_default() == 0);
         let cold = first.or_else(|| wanted.iter().find(missing))?;
-        pick(free, cold, Warmth::Cold)
+        select_members(free, cold, Warmth::Cold)
     }
 
-    /// A warm replica of the model that all domains together provide for worst, up to its share.
+    /// Returns a warm replica of the model with the lowest provision, up to the model's share.
     ///
-    /// Load: losses leave free targets that have more than one model. Harm: formed of whatever fits,
-    /// they are small replicas beyond their share, and the large model falls from six replicas to
-    /// two within half a minute of steady loss.
+    /// After losses, free targets often have several models. Forming whatever fits would use them
+    /// up for small replicas beyond their share.
     fn next_by_need(
         &self,
         view: FormingView<'_>,
         wanted: &[ModelCount],
-        held: &BTreeMap<ModelName, usize>,
+        current: &BTreeMap<ModelName, usize>,
         free: &[&TargetEntry],
     ) -> Option<(ModelName, Vec<VmName>)> {
-        let balance = self.balance_with(view, held);
-        let freed_for = self.converting_to();
+        let balance = self.balance_with(view, current);
+        let converting_to = self.converting_to();
         let models: Vec<&ModelName> = balance.by_need().collect();
-        models.iter().enumerate().find_map(|(rank, &model)| {
-            if balance.missing(model) == 0 || freed_for.is_some_and(|to| to != model) {
+        models.iter().enumerate().find_map(|(index, &model)| {
+            if balance.missing(model) == 0 || converting_to.is_some_and(|to| to != model) {
                 return None;
             }
-            let needier = &models[..rank];
-            let candidates = free.iter().filter(|entry| !is_kept_for(entry, needier)).copied();
+            let worse_provisioned = &models[..index];
+            let candidates =
+                free.iter().filter(|entry| !is_reserved_for(entry, worse_provisioned)).copied();
             let count = wanted.iter().find(|count| count.model == *model)?;
-            pick(&candidates.collect::<Vec<_>>(), count, Warmth::Staged)
+            select_members(&candidates.collect::<Vec<_>>(), count, Warmth::Staged)
         })
     }
 
-    /// Whether callers are served, so that loads take their whole time; `None` if that is not known.
+    /// Whether callers are served, which limits the rate of loads, or `None` if that is unknown.
     ///
-    /// Guards against a restart of every node: none has seen a request yet, and each would load all
-    /// that its domain lacks at once. An earlier decider has left word in the record.
+    /// After a restart of all nodes none has seen a request yet, so the flag in the record counts
+    /// too.
     pub(crate) fn serves_callers(&self, view: FormingView<'_>) -> Option<bool> {
         match &self.record {
             _ if view.traffic_seen => Some(true),
@@ -149,44 +149,44 @@
     }
 
     fn new_plan(&mut self, model: ModelName, members: Vec<VmName>) -> PlannedReplica {
-        self.next_name += 1;
-        let Self { domain, node, instance, next_name, .. } = self;
-        let replica = ReplicaName::new(format!("{domain}-{node}-{instance:x}-{next_name}"));
+        self.next_replica_number += 1;
+        let Self { domain, node, instance, next_replica_number, .. } = self;
+        let replica =
+            ReplicaName::new(format!("{domain}-{node}-{instance:x}-{next_replica_number}"));
         PlannedReplica { replica, generation: None, model, members }
     }
 
-    /// Whether a member still names the planned replica, or may be about to.
+    /// Whether a member is in the planned replica or may still join it.
     fn may_exist(&self, view: FormingView<'_>, plan: &PlannedReplica) -> bool {
         let name = &plan.replica;
         self.is_forming(name)
-            || self.unseen.contains_key(name)
+            || self.unlisted_plans.contains_key(name)
             || self.dissolving.keys().any(|key| key.replica == *name)
             || view.replicas.keys().any(|key| key.replica == *name)
     }
 }
 
-/// Whether a target served one of these models last and is kept for it.
+/// Whether a target last served one of these models and is reserved for it.
 ///
-/// Guards against a model that loses its targets for good: a host keeps few models, so one that
-/// joins a replica of another must load the former again.
-fn is_kept_for(entry: &TargetEntry, needier: &[&ModelName]) -> bool {
-    entry.model.as_ref().is_some_and(|served| needier.contains(&served))
+/// A host keeps few models, so a target that joins a replica of another model may lose this one.
+fn is_reserved_for(entry: &TargetEntry, worse_provisioned: &[&ModelName]) -> bool {
+    entry.model.as_ref().is_some_and(|served| worse_provisioned.contains(&served))
 }
 
-fn pick(
+fn select_members(
     free: &[&TargetEntry],
     count: &ModelCount,
-    coldest: Warmth,
+    coldest_allowed: Warmth,
 ) -> Option<(ModelName, Vec<VmName>)> {
-    let mut fit: Vec<_> = free
+    let mut candidates: Vec<_> = free
         .iter()
         .map(|entry| (warmth(entry, &count.model), &entry.name))
-        .filter(|(warmth, _)| *warmth <= coldest)
+        .filter(|(warmth, _)| *warmth <= coldest_allowed)
         .collect();
-    fit.sort();
-    if fit.len() < count.size {
+    candidates.sort();
+    if candidates.len() < count.size {
         return None;
     }
-    let members = fit.into_iter().take(count.size).map(|(_, name)| name.clone()).collect();
+    let members = candidates.into_iter().take(count.size).map(|(_, name)| name.clone()).collect();
     Some((count.model.clone(), members))
 }
--- a/crates/forming/src/domain/reach.rs
+++ b/crates/forming/src/domain/probing.rs
@@ -5,8 +5,8 @@
 use crate::interface::{FormingAction, FormingView, Reachability};
 
 impl DomainPlanner {
-    /// Asks every member of a replica whose requests stand still.
-    pub(crate) fn suspected(
+    /// Probes every member of a replica whose requests are stalled.
+    pub(crate) fn probe_suspected(
         &mut self,
         view: FormingView<'_>,
         key: &ReplicaKey,
@@ -14,16 +14,21 @@
     ) {
         let Some(replica) = view.replicas.get(key) else { return };
         let members: Vec<VmName> = replica.members.iter().flatten().cloned().collect();
-        self.note(key, "suspected", None, out);
-        if self.dissolving.get(key).is_some_and(|dissolving| dissolving.closed_at.is_some()) {
-            // It was finishing its work, and a member has gone before that was done.
+        self.log_change(key, "suspected", None, out);
+        if self.dissolving.get(key).is_some_and(|dissolving| dissolving.closing_since.is_some()) {
+            // A member was lost before the head had finished its requests.
             return self.dissolve(key, members, out);
         }
         out.extend(members.into_iter().map(|target| FormingAction::Probe { target }));
     }
 
-    /// Takes over what a probe showed.
-    pub(crate) fn probed(&mut self, now: TimeMs, target: VmName, reachability: Reachability) {
+    /// Applies the result of a probe.
+    pub(crate) fn apply_probe_result(
+        &mut self,
+        now: TimeMs,
+        target: VmName,
+        reachability: Reachability,
+    ) {
         match reachability {
             Reachability::Answers => {
                 self.unreachable.remove(&target);
@@ -33,16 +38,16 @@
             }
             Reachability::Gone | Reachability::Silent => {
                 self.departing.remove(&target);
-                let again_at = now.after(self.settings.probe_interval_ms);
-                self.unreachable.insert(target, again_at);
+                let next_probe_at = now.after(self.settings.probe_interval_ms);
+                self.unreachable.insert(target, next_probe_at);
             }
         }
     }
 
-    /// Whether a member whose entry was removed still answers; `None` until it was asked.
+    /// Whether a member whose entry was removed still answers, or `None` while its first probe is pending.
     ///
-    /// A target that leaves without a word finishes what its replica has; one that has died shows
-    /// it by its silence.
+    /// A target that shuts down still serves its requests for a while, and one that has failed does
+    /// not answer.
     pub(crate) fn is_departing(
         &mut self,
         now: TimeMs,
@@ -50,8 +55,8 @@
         name: &VmName,
         out: &mut Vec<FormingAction>,
     ) -> Option<bool> {
-        // One that is listed has started again or joined another; one without an address cannot be
-        // asked.
+        // A listed member has restarted or joined another replica. One without an address cannot be
+        // probed.
         let is_listed = view.fleet.target(name).is_some();
         let is_known = view.fleet.known(name).is_some();
         if is_listed || !is_known || self.unreachable.contains_key(name) {
@@ -60,13 +65,13 @@
         if let Some((_, answered)) = self.departing.get(name) {
             return answered.then_some(true);
         }
-        let again_at = now.after(self.settings.probe_interval_ms);
-        self.departing.insert(name.clone(), (again_at, false));
+        let next_probe_at = now.after(self.settings.probe_interval_ms);
+        self.departing.insert(name.clone(), (next_probe_at, false));
         out.push(FormingAction::Probe { target: name.clone() });
         None
     }
 
-    /// Asks targets that are unreachable or leave without a word now and then.
+    /// Probes unreachable and departing targets once their next probe is due.
     pub(crate) fn probe_unreachable(&mut self, now: TimeMs, out: &mut Vec<FormingAction>) {
         let departing = self.departing.iter_mut().map(|(target, (at, _))| (target, at));
         for (target, at) in self.unreachable.iter_mut().chain(departing) {
--- a/crates/forming/src/domain/replicas.rs
+++ b/crates/forming/src/domain/replicas.rs
@@ -8,8 +8,9 @@
 use crate::record::PlannedReplica;
 
 impl DomainPlanner {
-    /// Looks at each replica of the domain: opens what is ready, takes apart what is not whole.
-    pub(crate) fn judge_replicas(
+    /// Evaluates each replica of the domain: opens complete ones, dissolves those that lost a
+    /// member.
+    pub(crate) fn evaluate_replicas(
         &mut self,
         now: TimeMs,
         view: FormingView<'_>,
@@ -17,23 +18,23 @@
     ) {
         let own = view.replicas.values().filter(|r| r.domain.as_ref() == Some(&self.domain));
         for replica in own.cloned().collect::<Vec<_>>() {
-            if self.is_left(&replica) || self.dissolving.contains_key(&replica.key) {
+            if self.all_members_left(&replica) || self.dissolving.contains_key(&replica.key) {
                 continue;
             }
             if self.formations.contains_key(&replica.key) {
                 self.advance_formation(view, &replica, out);
             } else {
-                self.judge_found(now, view, &replica, out);
+                self.evaluate_listed(now, view, &replica, out);
             }
         }
-        let late =
-            self.formations.values().filter(|f| f.give_up_at <= now || self.is_hurt(view, f));
-        let late: Vec<_> = late.map(|formation| formation.key.clone()).collect();
-        late.iter().for_each(|key| self.abandon(key, "formation abandoned", out));
+        let failed =
+            self.formations.values().filter(|f| f.deadline <= now || self.has_lost_member(view, f));
+        let failed: Vec<_> = failed.map(|formation| formation.key.clone()).collect();
+        failed.iter().for_each(|key| self.abandon(key, "formation abandoned", out));
     }
 
-    /// Begins a replica that the record now holds.
-    pub(crate) fn begin(
+    /// Starts to form a replica once its plan is in the record.
+    pub(crate) fn begin_formation(
         &mut self,
         now: TimeMs,
         view: FormingView<'_>,
@@ -47,11 +48,11 @@
             key: key.clone(),
             model: plan.model.clone(),
             members: plan.members.clone(),
-            give_up_at: now.after(load_ms * self.settings.load_timeout_factor),
+            deadline: now.after(load_ms * self.settings.load_timeout_factor),
             accepted: Vec::new(),
             open_sent: false,
         };
-        self.note(&key, "planned", plan.members.first(), out);
+        self.log_change(&key, "planned", plan.members.first(), out);
         self.formations.insert(key, formation);
         for member in &plan.members {
             let order = TargetOrder::Join {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Takes over what became of a join.
-    pub(crate) fn joined(
+    /// Applies the outcome of a join order.
+    pub(crate) fn apply_join_outcome(
         &mut self,
         now: TimeMs,
         key: &ReplicaKey,
@@ -84,10 +85,9 @@
         }
     }
 
-    /// Opens the head once every member was seen ready under this name and generation.
+    /// Opens the head once every member is ready under this name and generation.
     ///
-    /// Guards against a replica that serves without a member: nobody else checks the members, and a
-    /// head that is opened early answers nothing.
+    /// No other component checks the members, and a head without all its members cannot answer.
     fn advance_formation(
         &mut self,
         view: FormingView<'_>,
@@ -97,7 +97,7 @@
         let Some(formation) = self.formations.get_mut(&replica.key) else { return };
         if replica.head_state == Some(MemberState::Open) {
             self.formations.remove(&replica.key);
-            self.note(&replica.key, "open", replica.head(), out);
+            self.log_change(&replica.key, "open", replica.head(), out);
             return;
         }
         let whole = replica.is_complete(formation.members.len()) && replica.all_ready;
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Whether a formation has lost a member.
-    fn is_hurt(&self, view: FormingView<'_>, formation: &Formation) -> bool {
+    /// Whether a formation has lost a member or one is draining.
+    fn has_lost_member(&self, view: FormingView<'_>, formation: &Formation) -> bool {
         formation.members.iter().any(|name| {
             self.unreachable.contains_key(name)
                 || view
@@ -124,12 +124,12 @@
 
     fn abandon(&mut self, key: &ReplicaKey, why: &'static str, out: &mut Vec<FormingAction>) {
         let Some(formation) = self.formations.remove(key) else { return };
-        self.note(key, why, None, out);
+        self.log_change(key, why, None, out);
         self.dissolve(key, formation.members, out);
     }
 
-    /// Judges a replica that another decider formed, or that this one has opened.
-    fn judge_found(
+    /// Evaluates a replica that this planner is not forming.
+    fn evaluate_listed(
         &mut self,
         now: TimeMs,
         view: FormingView<'_>,
@@ -144,21 +144,21 @@
         let members = self.possible_members(view, &replica.key, listed);
         match replica.head_state {
             Some(MemberState::Open | MemberState::Closing) => {
-                let leaves = match size.is_some() && !complete {
-                    true => self.leave_without_word(now, view, replica, out),
+                let should_drain = match size.is_some() && !complete {
+                    true => self.missing_members_answer(now, view, replica, out),
                     false => Some(replica.draining),
                 };
                 let whole = complete || size.is_none();
-                match leaves {
-                    _ if lost => self.take_apart(replica, members, out),
+                match should_drain {
+                    _ if lost => self.dissolve_after_loss(replica, members, out),
                     None => {}
                     Some(true) => self.close(now, replica, "member leaves", out),
                     Some(false) if whole => {}
-                    Some(false) => self.take_apart(replica, members, out),
+                    Some(false) => self.dissolve_after_loss(replica, members, out),
                 }
             }
             Some(MemberState::Broken) => {
-                self.note(&replica.key, "broken", None, out);
+                self.log_change(&replica.key, "broken", None, out);
                 self.release(replica);
             }
             Some(MemberState::Joining | MemberState::Ready) => {
@@ -170,7 +170,7 @@
                     self.dissolve(&replica.key, members, out);
                 }
             }
-            None => match self.leave_without_word(now, view, replica, out) {
+            None => match self.missing_members_answer(now, view, replica, out) {
                 None => {}
                 Some(true) => self.close(now, replica, "member leaves", out),
                 Some(false) => self.dissolve(&replica.key, members, out),
@@ -178,18 +178,18 @@
         }
     }
 
-    fn take_apart(
+    fn dissolve_after_loss(
         &mut self,
         replica: &Replica,
         members: Vec<VmName>,
         out: &mut Vec<FormingAction>,
     ) {
-        self.note(&replica.key, "member lost", None, out);
+        self.log_change(&replica.key, "member lost", None, out);
         self.dissolve(&replica.key, members, out);
     }
 
-    /// Whether every member that is not listed any more still answers; `None` while one is asked.
-    fn leave_without_word(
+    /// Whether every member that is no longer listed still answers, or `None` during a probe.
+    fn missing_members_answer(
         &mut self,
         now: TimeMs,
         view: FormingView<'_>,
@@ -197,7 +197,7 @@
         out: &mut Vec<FormingAction>,
     ) -> Option<bool> {
         let listed: Vec<&VmName> = replica.members.iter().flatten().collect();
-        // Whom the record does not name cannot be asked; it counts as lost.
+        // Members that the record does not name cannot be probed and count as lost.
         let Some(plan) = self.planned(&replica.key) else { return Some(false) };
         let missing = plan.members.clone().into_iter().filter(|name| !listed.contains(&name));
         let answers: Vec<Option<bool>> =
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Goes on with a replica that another decider left half done.
+    /// Continues a replica that another coordinator has left unfinished.
     fn adopt(
         &mut self,
         now: TimeMs,
@@ -221,12 +221,12 @@
             return;
         };
         let load_ms = view.profile.model(&model).map_or(0, |model| model.load_ms);
-        self.note(&replica.key, "adopted", replica.head(), out);
+        self.log_change(&replica.key, "adopted", replica.head(), out);
         let formation = Formation {
             key: replica.key.clone(),
             model,
             members: replica.members.iter().flatten().cloned().collect(),
-            give_up_at: now.after(load_ms * self.settings.load_timeout_factor),
+            deadline: now.after(load_ms * self.settings.load_timeout_factor),
             accepted: Vec::new(),
             open_sent: false,
         };
@@ -234,9 +234,8 @@
         self.advance_formation(view, replica, out);
     }
 
-    /// Whether every listed member has left it or cannot be reached, although the list does not show
-    /// that yet.
-    fn is_left(&self, replica: &Replica) -> bool {
+    /// Whether every listed member has left the replica or is unreachable.
+    fn all_members_left(&self, replica: &Replica) -> bool {
         let mut members = replica.members.iter().flatten();
         members.all(|member| {
             self.unreachable.contains_key(member)
@@ -244,7 +243,7 @@
         })
     }
 
-    /// Lets the head of a replica finish its work before its members leave.
+    /// Orders the head of a replica to finish its requests before the members leave.
     pub(crate) fn close(
         &mut self,
         now: TimeMs,
@@ -252,11 +251,11 @@
         why: &'static str,
         out: &mut Vec<FormingAction>,
     ) {
-        self.note(&replica.key, why, None, out);
-        let waiting = replica.members.iter().flatten().cloned().collect();
-        let dissolving = Dissolving { waiting, closed_at: Some(now) };
+        self.log_change(&replica.key, why, None, out);
+        let remaining = replica.members.iter().flatten().cloned().collect();
+        let dissolving = Dissolving { remaining, closing_since: Some(now) };
         self.dissolving.insert(replica.key.clone(), dissolving);
-        // A head that is not listed takes no new requests, and ends with what it has.
+        // A head that is not listed receives no new requests.
         let Some(head) = replica.head().cloned() else { return };
         let ReplicaKey { replica, generation } = replica.key.clone();
         let order = TargetOrder::Close { replica, generation, mode: CloseMode::Finish };
@@ -267,7 +266,7 @@
         self.planned(key).map(|plan| plan.model.clone())
     }
 
-    /// The plan of a replica, as far as the record is known.
+    /// Returns the plan of a replica, if the record is known and contains it.
     pub(crate) fn planned(&self, key: &ReplicaKey) -> Option<&PlannedReplica> {
         let (RecordState::Known(record) | RecordState::Writing(record)) = &self.record else {
             return None;
--- a/crates/forming/src/domain/second_models.rs
+++ b/crates/forming/src/domain/second_models.rs
@@ -9,12 +9,11 @@
 use crate::interface::FormingView;
 
 impl DomainPlanner {
-    /// Serving targets that should stage another model beside the one that they serve, and which.
+    /// Returns serving targets that should stage a second model, and which model.
     ///
-    /// Load: a replica loses a member every few seconds, and its survivors are too few for another
-    /// of its size. Harm: they stand idle until a load of many seconds is over, while members of
-    /// other replicas nearby could complete them. Limit: the model that fewest targets of the domain
-    /// have; once callers come, only while no target is empty, since those need the loads more.
+    /// Survivors of a replica that lost a member can then complete replicas of another model
+    /// instead of being idle until a load has finished. Picks the model that the fewest serving
+    /// targets have. Once callers are served, loads for empty targets take precedence.
     pub(crate) fn second_loads_wanted(
         &self,
         now: TimeMs,
@@ -24,7 +23,7 @@
             return Vec::new();
         }
         let serving: Vec<&TargetEntry> = self.serving(view).collect();
-        let mut hosts = self.hosts_of_models(view, &serving);
+        let mut hosts = self.hosts_per_model(view, &serving);
         let may_load = |entry: &&TargetEntry| {
             !self.staging.contains_key(&entry.name)
                 && self.may_stage(now, &entry.name)
@@ -42,29 +41,29 @@
         loads
     }
 
-    /// How many of these targets have each model or are loading it.
-    fn hosts_of_models<'a>(
+    /// Returns each model with the number of these targets that have it or are loading it.
+    fn hosts_per_model<'a>(
         &self,
         view: FormingView<'a>,
         targets: &[&TargetEntry],
     ) -> Vec<(usize, &'a ModelProfile)> {
         let hosts = |model: &ModelProfile| {
-            targets.iter().filter(|entry| self.is_or_gets_warm(entry, &model.name)).count()
+            targets.iter().filter(|entry| self.is_warm_or_loading(entry, &model.name)).count()
         };
         view.profile.models.iter().map(|model| (hosts(model), model)).collect()
     }
 
-    /// Sound targets of the domain whose replica serves.
+    /// Returns the reachable targets of the domain whose replica serves.
     fn serving<'a>(&self, view: FormingView<'a>) -> impl Iterator<Item = &'a TargetEntry> {
         let open = self.open_replicas(view);
         let members = open.flat_map(|replica| replica.members.iter().flatten());
-        let sound = members.filter(|name| !self.unreachable.contains_key(*name));
-        let listed = sound.filter_map(move |name| view.fleet.target(name));
+        let reachable = members.filter(|name| !self.unreachable.contains_key(*name));
+        let listed = reachable.filter_map(move |name| view.fleet.target(name));
         listed.filter(|entry| entry.phase == TargetPhase::Ready)
     }
 }
 
-/// Whether a host has staged a model that it does not serve, which another load would drop.
+/// Whether a target has staged a model that it does not serve, which another load would evict.
 fn has_second_model(entry: &TargetEntry) -> bool {
     entry.staged.iter().any(|staged| entry.model.as_ref() != Some(staged))
 }
--- a/crates/forming/src/interface/action.rs
+++ b/crates/forming/src/interface/action.rs
@@ -5,41 +5,41 @@
 use crate::record::DomainRecord;
 
 number! {
-    /// Matches an order's outcome to the order, inside one decider.
+    /// Identifies an order within one planner, to match its outcome.
     OrderId(u64)
 }
 
 state! {
-    /// What a decider wants done.
+    /// An action that a planner requests from its caller.
     pub enum FormingAction {
         /// Read the domain's record.
         ReadRecord,
-        /// Write the domain's record if it is still as it was read.
+        /// Write the domain's record if it has not changed since it was read.
         WriteRecord {
-            /// Its new content.
+            /// The new content.
             record: DomainRecord,
         },
-        /// Send an order; its outcome follows.
+        /// Send an order to a target, and report its outcome.
         Order {
-            /// Names the order.
+            /// Identifies the order.
             id: OrderId,
-            /// Whom to.
+            /// The target to send it to.
             target: VmName,
-            /// What.
+            /// The order.
             order: TargetOrder,
         },
-        /// Ask a target for its report, to see whether it can be reached.
+        /// Request a report from a target, to check whether it is reachable.
         Probe {
-            /// Which.
+            /// The target to probe.
             target: VmName,
         },
-        /// Nothing to do but to log: what is believed of a replica has changed.
+        /// Log a change in the state of a replica.
         LogChange {
-            /// Which.
+            /// The replica.
             replica: ReplicaKey,
-            /// What, in a few words.
+            /// What changed, in a few words.
             change: &'static str,
-            /// The target that it is about, if it is about one.
+            /// The target concerned, if any.
             target: Option<VmName>,
         },
     }
--- a/crates/forming/src/interface/event.rs
+++ b/crates/forming/src/interface/event.rs
@@ -6,54 +6,55 @@
 use crate::record::DomainRecord;
 
 state! {
-    /// What a decider hears, besides the list of targets.
+    /// An event that a planner handles.
     pub enum FormingEvent {
-        /// The domain's record was read; it may be missing.
+        /// The domain's record was read. The record is empty if it does not exist.
         RecordRead {
-            /// What it holds.
+            /// The content of the record.
             record: DomainRecord,
         },
-        /// The record was written; its version is the generation of what was new in it.
+        /// The record was written. Its version is the generation of the new plans.
         RecordWritten {
-            /// That version.
+            /// The version written.
             generation: Generation,
         },
-        /// The record was not written, or perhaps was: it must be read again.
+        /// A read failed, or a write failed or has an unknown result. The record must be read
+        /// again.
         RecordFailed,
-        /// What became of an order.
+        /// An order has completed.
         OrderCompleted {
-            /// Which.
+            /// The order.
             id: OrderId,
-            /// What.
+            /// Its outcome.
             outcome: OrderOutcome,
         },
-        /// What became of a probe.
+        /// A probe has completed.
         ProbeCompleted {
-            /// Whom it went to.
+            /// The target that was probed.
             target: VmName,
-            /// What it showed.
+            /// The result.
             reachability: Reachability,
         },
-        /// Requests at a replica stand still together.
+        /// All requests at a replica are stalled.
         Suspected {
-            /// Which.
+            /// The replica.
             replica: ReplicaKey,
         },
-        /// A target is named as lost by the head of its replica.
+        /// A target was reported as lost by the head of its replica.
         LossReported {
-            /// Which.
+            /// The target.
             target: VmName,
         },
     }
 
-    /// What a probe shows.
+    /// The result of a probe.
     #[derive(Copy, Eq)]
     pub enum Reachability {
-        /// It answered.
+        /// The target answered.
         Answers,
-        /// Nothing listens there any more.
+        /// Nothing listens at the target's address.
         Gone,
-        /// No answer in time: it may be dead or cut off.
+        /// The target did not answer in time. It may have failed or be cut off.
         Silent,
     }
 }
--- a/crates/forming/src/interface/mod.rs
+++ b/crates/forming/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! What a [`DomainPlanner`](crate::DomainPlanner) hears and does, and its settings.
+//! Events, actions, input and settings of a [`DomainPlanner`](crate::DomainPlanner).
 
 mod action;
 mod event;
--- a/crates/forming/src/interface/settings.rs
+++ b/crates/forming/src/interface/settings.rs
@@ -1,56 +1,44 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// Spans and limits of a decider.
+    /// Timeouts and limits of a [`DomainPlanner`](crate::DomainPlanner).
     #[derive(Copy)]
     pub struct FormingSettings {
-        /// Time between two tries of an order without an answer, in milliseconds.
-        ///
-        /// Several times what a sound target takes to answer.
+        /// Time between two attempts of an unanswered order, in milliseconds.
         pub order_retry_ms: u64,
-        /// Tries of one join without an answer, after which the target counts as unreachable.
+        /// Unanswered attempts of an order after which the target counts as unreachable.
         pub order_attempts_max: u32,
-        /// Time from a read of the record that failed to the next, in milliseconds.
-        ///
-        /// As long as a feed pauses, and as short as what a caller would notice of a late plan.
+        /// Time from a failed read of the record to the next read, in milliseconds.
         pub record_retry_ms: u64,
-        /// How long another decider's unfinished replica is left alone, in milliseconds.
-        ///
-        /// A live decider opens a ready replica within some hundred milliseconds.
+        /// Time before another coordinator's unfinished replica is adopted or dissolved, in
+        /// milliseconds.
         pub adopt_after_ms: u64,
-        /// How long the list may take to show another decider's plan, in milliseconds.
-        ///
-        /// Joins follow the plan within some tens of milliseconds; a second covers a list that lags.
+        /// Time that the target list may lag behind another coordinator's plan, in milliseconds.
         pub unlisted_plan_grace_ms: u64,
-        /// How long members of such a plan that nobody lists count as taken, in milliseconds.
+        /// Longest time that unlisted members of an unlisted plan count as taken, in milliseconds.
         pub unlisted_plan_max_ms: u64,
-        /// How long a target that refused to stage is left alone, in milliseconds.
+        /// First pause before a target that refused to stage is asked again, in milliseconds.
         ///
-        /// It mostly still stages for an earlier decider, which takes many seconds, and
-        /// without a pause it would be asked at each step.
+        /// A target refuses while it stages another model. Each further refusal doubles the pause.
         pub stage_retry_ms: u64,
-        /// Longest time that one which has refused to stage again and again is left alone, in
-        /// milliseconds.
-        ///
-        /// As long as a load takes; each refusal before doubles the pause.
+        /// Longest pause before a target that refused to stage is asked again, in milliseconds.
         pub stage_retry_max_ms: u64,
         /// Time between two probes of an unreachable target, in milliseconds.
         pub probe_interval_ms: u64,
-        /// Longest time that a leaving member is waited for, in milliseconds.
+        /// Longest time to wait for a head to finish its requests, in milliseconds.
         pub drain_timeout_ms: u64,
-        /// Longest time that the work of a head which is not listed any more is waited for, in
+        /// Longest time to wait for a head that is no longer listed to finish its requests, in
         /// milliseconds.
         ///
-        /// No node sends it more, and three answers of four end within two seconds; its state cannot
-        /// be seen, and its members serve nobody until they leave.
+        /// Its state cannot be observed, and its members serve nothing until they leave.
         pub unlisted_drain_timeout_ms: u64,
-        /// Loads from the weights store that this domain may begin each second.
+        /// Loads from the weights store that this domain may start per second.
         pub loads_per_s: f64,
-        /// Loads of all domains that may be under way at once.
+        /// Loads that may run at once, over all domains.
         pub concurrent_loads_max: usize,
-        /// Loads that may be saved up.
+        /// Largest burst of loads that this domain may start.
         pub load_burst_max: f64,
-        /// Times of its expected load that a formation may take.
+        /// Timeout of a formation or of a staged load, as a multiple of the model's load time.
         pub load_timeout_factor: u64,
     }
 }
@@ -78,11 +66,10 @@
 }
 
 impl FormingSettings {
-    /// Spreads the loads that may start over all domains, and keeps how many may run side by side.
+    /// Divides the load rate among all domains and sets the limit on concurrent loads.
     ///
-    /// Load: a fabric domain returns, or many empty targets come. Harm: beyond its rate the weights
-    /// store makes every load slower, also those that mend a replica. Limit: nine tenths of the
-    /// rate, since deciders cannot see each other's last second.
+    /// Keeps a margin of a tenth below the rate of the weights store, because the coordinators do
+    /// not see each other's most recent loads.
     pub fn with_load_limits(
         mut self,
         loads_per_s: f64,
--- a/crates/forming/src/interface/view.rs
+++ b/crates/forming/src/interface/view.rs
@@ -3,36 +3,36 @@
 use celeryhaven_fleet::{DomainTargets, EngineProfile, FleetView, Replica, ReplicaKey};
 use celeryhaven_types::DomainName;
 
-/// What a decider looks at in one step.
+/// The input of a planner for one step.
 #[derive(Clone, Copy, Debug)]
 pub struct FormingView<'a> {
     /// All listed targets.
     pub fleet: &'a FleetView,
-    /// The replicas that they name.
+    /// The replicas that listed targets report.
     pub replicas: &'a BTreeMap<ReplicaKey, Replica>,
-    /// Replicas that the list has shown lately, whether it still does or not.
+    /// Replicas that are listed or were listed recently.
     pub recently_listed: &'a BTreeSet<ReplicaKey>,
-    /// What is known of the engines.
+    /// The profile of the engines.
     pub profile: &'a EngineProfile,
-    /// Domains of the service, by name.
+    /// The fabric domains of the service, by name.
     pub domains: &'a [ListedDomain<'a>],
-    /// Whether callers have sent requests yet; loads are free of limits before.
+    /// Whether callers have sent requests. Loads are not limited before that.
     pub traffic_seen: bool,
-    /// Whether the store serves this node: without it nothing can be planned.
+    /// Whether the store is available to this node. Without it nothing can be planned.
     pub store_available: bool,
 }
 
 /// A fabric domain and its listed targets.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedDomain<'a> {
-    /// Its name.
+    /// The name of the domain.
     pub name: &'a DomainName,
-    /// Its targets.
+    /// The targets of the domain.
     pub targets: &'a DomainTargets,
 }
 
 impl<'a> ListedDomain<'a> {
-    /// A domain with these targets.
+    /// Creates a domain from its name and targets.
     pub fn new((name, targets): (&'a DomainName, &'a DomainTargets)) -> Self {
         Self { name, targets }
     }
--- a/crates/forming/src/lib.rs
+++ b/crates/forming/src/lib.rs
@@ -1,16 +1,16 @@
-//! Which targets form which replica, and the orders that follow, without I/O.
+//! Plans which targets form which replica and orders the targets accordingly, without I/O.
 //!
-//! Each fabric domain has one decider at a time. It holds no lease: before any join it writes the
-//! domain's record under the condition that nobody else has, and the version of that write is the
-//! generation of the replicas that it plans. A former decider fails at the condition, and its late
-//! orders carry a lower generation, which targets refuse.
+//! Each fabric domain has one coordinator at a time. It holds no lease. Before it orders any join,
+//! it writes the domain's record with a compare-and-swap, and the version of that write becomes the
+//! generation of the replicas it plans. A former coordinator fails the compare-and-swap, and its
+//! late orders carry a lower generation, which targets refuse.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`interface`] | what a [`DomainPlanner`] hears and does, and its settings |
-//! | [`mix`] | how many replicas of each model a domain of some size should hold |
+//! | [`interface`] | events, actions, input and settings of a [`DomainPlanner`] |
+//! | [`mix`] | how many replicas of each model a domain should have |
 //! | [`record`] | the domain's record in the store |
-//! | [`domain`] | the state machine of one domain's decider |
+//! | [`domain`] | the state machine of a domain's coordinator |
 
 pub mod domain;
 pub mod interface;
--- a/crates/forming/src/mix/balance.rs
+++ b/crates/forming/src/mix/balance.rs
@@ -3,18 +3,16 @@
 use celeryhaven_fleet::ModelProfile;
 use celeryhaven_types::ModelName;
 
-/// Part of another model's provision below which a model is worth replicas of it.
+/// Fraction of another model's provision below which a model counts as under-provisioned.
 ///
-/// A member that changes its model must load the former one again before it can go back, so a small
-/// difference is left as it is.
-const UNEVEN_PART: f64 = 0.9;
+/// Small differences are not worth a conversion: a converted target must load its former model
+/// again to convert back.
+const IMBALANCE_RATIO: f64 = 0.9;
 
-/// How well each model of a service is provided for, against its share of the work.
+/// Provision of each model of a service, relative to the model's share of the work.
 ///
-/// Load: targets are lost everywhere and come back elsewhere, so that no domain holds what it was
-/// meant to. Harm: a domain that looks at itself alone forms another replica of the model that the
-/// service has enough of, while callers of the other wait. Limit: replicas in all domains count, as
-/// the list shows them.
+/// Counts the replicas of all domains, so that a domain which regains targets does not form
+/// replicas of a model that the service already has enough of.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -32,97 +30,101 @@
 ///     staged_load_ms: 1_600,
 /// };
 /// let models = [model("small", 2, 0.25), model("large", 4, 0.75)];
-/// let held = BTreeMap::from([(ModelName::new("small"), 4), (ModelName::new("large"), 4)]);
-/// let balance = Balance::new(&models, 32, &held);
+/// let replicas = BTreeMap::from([(ModelName::new("small"), 4), (ModelName::new("large"), 4)]);
+/// let balance = Balance::new(&models, 32, &replicas);
 /// assert_eq!(balance.by_need().next(), Some(&ModelName::new("large")));
 /// assert_eq!(balance.missing(&ModelName::new("large")), 2);
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Balance {
-    /// The one that is provided for worst first.
-    parts: Vec<ModelPart>,
-    /// Targets that all models share.
+    /// Sorted by provision, the lowest first.
+    entries: Vec<ModelEntry>,
+    /// Targets shared by all models.
     targets: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct ModelPart {
+struct ModelEntry {
     model: ModelName,
     size: usize,
-    /// Part of the work, of one.
+    /// Normalised fraction of the work.
     share: f64,
     replicas: usize,
 }
 
-impl ModelPart {
-    /// Replicas that it lacks to its share of so many targets.
+impl ModelEntry {
+    /// Returns how many replicas the model is short of its share of `targets`.
     fn missing(&self, targets: usize) -> usize {
-        let fair = targets as f64 * self.share / self.size as f64;
-        (fair.round() as usize).saturating_sub(self.replicas)
+        let fair_share = targets as f64 * self.share / self.size as f64;
+        (fair_share.round() as usize).saturating_sub(self.replicas)
     }
 
-    /// Targets that serve the model for each part of the work that is its share.
+    /// Returns the targets that serve the model, divided by its share.
     fn provision(&self) -> f64 {
         (self.replicas * self.size) as f64 / self.share.max(f64::EPSILON)
     }
 }
 
 impl Balance {
-    /// The balance of these models on so many targets with so many replicas of each.
-    pub fn new(models: &[ModelProfile], targets: usize, held: &BTreeMap<ModelName, usize>) -> Self {
+    /// Creates the balance of these models, given the number of targets and the replicas per model.
+    pub fn new(
+        models: &[ModelProfile],
+        targets: usize,
+        replicas: &BTreeMap<ModelName, usize>,
+    ) -> Self {
         let shares: f64 = models.iter().map(|model| model.share).sum();
-        let part = |model: &ModelProfile| ModelPart {
+        let entry = |model: &ModelProfile| ModelEntry {
             model: model.name.clone(),
             size: model.size,
             share: model.share / shares.max(f64::EPSILON),
-            replicas: held.get(&model.name).copied().unwrap_or_default(),
+            replicas: replicas.get(&model.name).copied().unwrap_or_default(),
         };
-        let parts = models.iter().filter(|model| model.size > 0).map(part).collect();
-        let mut balance = Self { parts, targets };
+        let entries = models.iter().filter(|model| model.size > 0).map(entry).collect();
+        let mut balance = Self { entries, targets };
         balance.sort();
         balance
     }
 
-    /// Models, the one that is provided for worst first.
+    /// Returns the models in order of provision, the lowest first.
     pub fn by_need(&self) -> impl Iterator<Item = &ModelName> {
-        self.parts.iter().map(|part| &part.model)
+        self.entries.iter().map(|entry| &entry.model)
     }
 
-    /// Replicas that a model lacks to its share of the targets.
+    /// Returns how many replicas a model is short of its share of the targets.
     pub fn missing(&self, model: &ModelName) -> usize {
-        let part = self.parts.iter().find(|part| part.model == *model);
-        part.map_or(0, |part| part.missing(self.targets))
+        let entry = self.entries.iter().find(|entry| entry.model == *model);
+        entry.map_or(0, |entry| entry.missing(self.targets))
     }
 
-    /// The balance with one replica of a model more, and so many of another less.
-    pub fn with_conversion(&self, to: &ModelName, from: &ModelName, taken: usize) -> Self {
+    /// Returns the balance with one more replica of `to` and `dissolved` fewer of `from`.
+    pub fn with_conversion(&self, to: &ModelName, from: &ModelName, dissolved: usize) -> Self {
         let mut after = self.clone();
-        for part in &mut after.parts {
-            if part.model == *to {
-                part.replicas += 1;
-            } else if part.model == *from {
-                part.replicas = part.replicas.saturating_sub(taken);
+        for entry in &mut after.entries {
+            if entry.model == *to {
+                entry.replicas += 1;
+            } else if entry.model == *from {
+                entry.replicas = entry.replicas.saturating_sub(dissolved);
             }
         }
         after.sort();
         after
     }
 
-    /// Whether the model that is provided for worst has much less than another.
+    /// Whether the model with the lowest provision has much less than another model.
     pub fn is_uneven(&self, other: &ModelName) -> bool {
-        let other = self.parts.iter().find(|part| part.model == *other);
-        let worst = self.parts.first().map_or(0.0, ModelPart::provision);
-        other.is_some_and(|other| worst < other.provision() * UNEVEN_PART)
+        let other = self.entries.iter().find(|entry| entry.model == *other);
+        let worst = self.entries.first().map_or(0.0, ModelEntry::provision);
+        other.is_some_and(|other| worst < other.provision() * IMBALANCE_RATIO)
     }
 
-    /// Whether the model that is provided for worst has more here than in another balance.
+    /// Whether the lowest provision of any model is higher than in another balance.
     pub fn is_more_even_than(&self, other: &Self) -> bool {
-        let worst = |balance: &Self| balance.parts.first().map_or(0.0, ModelPart::provision);
+        let worst = |balance: &Self| balance.entries.first().map_or(0.0, ModelEntry::provision);
         worst(self) > worst(other)
     }
 
     fn sort(&mut self) {
-        self.parts.sort_by(|a, b| {
+        self.entries.sort_by(|a, b| {
             let by_size = b.size.cmp(&a.size).then_with(|| a.model.cmp(&b.model));
             a.provision().total_cmp(&b.provision()).then(by_size)
         });
--- a/crates/forming/src/mix/mod.rs
+++ b/crates/forming/src/mix/mod.rs
@@ -1,4 +1,4 @@
-//! How many replicas of each model a domain of some size should hold.
+//! How many replicas of each model a domain should have.
 
 mod balance;
 mod wanted;
--- a/crates/forming/src/mix/wanted.rs
+++ b/crates/forming/src/mix/wanted.rs
@@ -3,32 +3,32 @@
 use celeryhaven_types::ModelName;
 
 state! {
-    /// Replicas of one model.
+    /// A number of replicas of one model.
     #[derive(Eq)]
     pub struct ModelCount {
         /// The model.
         pub model: ModelName,
-        /// Targets that form one replica of it.
+        /// Targets per replica.
         pub size: usize,
-        /// How many replicas.
+        /// Number of replicas.
         pub replicas: usize,
     }
 }
 
-/// Which of the service's domains one is, in the order of their names.
+/// Position of a domain among the domains of the service, in the order of their names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DomainPosition {
-    /// Its place, from zero.
+    /// Index of the domain, from zero.
     pub index: usize,
-    /// How many there are.
+    /// Number of domains.
     pub domains: usize,
 }
 
-/// How many replicas of each model a domain with this many usable targets should hold.
+/// Returns how many replicas of each model a domain with this many usable targets should have.
 ///
-/// Larger replicas come first, by their model's share of the work; the smallest take what is left.
-/// What a share leaves over in one domain is made up in the next, so that all domains together
-/// hold the shares.
+/// Models with larger replicas come first, by their share of the work. The model with the smallest
+/// replicas takes the remaining targets. Rounding differences carry over from one domain to the
+/// next, so that all domains together match the shares.
 ///
 /// ```
 /// use celeryhaven_fleet::ModelProfile;
@@ -52,25 +52,26 @@
 pub fn wanted_replicas(
     targets: usize,
     models: &[ModelProfile],
-    place: DomainPosition,
+    position: DomainPosition,
 ) -> Vec<ModelCount> {
     let mut sorted: Vec<&ModelProfile> = models.iter().filter(|model| model.size > 0).collect();
     sorted.sort_by(|a, b| b.size.cmp(&a.size).then_with(|| a.name.cmp(&b.name)));
     let shares: f64 = sorted.iter().map(|model| model.share).sum();
     let last = sorted.len().saturating_sub(1);
-    let mut left = targets;
-    let count = |(rank, model): (usize, &&ModelProfile)| {
+    let mut remaining = targets;
+    let count = |(index, model): (usize, &&ModelProfile)| {
         let part = targets as f64 * model.share / shares.max(f64::EPSILON) / model.size as f64;
-        let wished = if rank == last { left / model.size } else { rounded(part, place.index) };
-        let replicas = wished.min(left / model.size);
-        left -= replicas * model.size;
+        let desired =
+            if index == last { remaining / model.size } else { rounded(part, position.index) };
+        let replicas = desired.min(remaining / model.size);
+        remaining -= replicas * model.size;
         ModelCount { model: model.name.clone(), size: model.size, replicas }
     };
     sorted.iter().enumerate().map(count).collect()
 }
 
-/// The whole number for one of many places, so that the numbers of all add up to the parts.
+/// Rounds the part of one position so that all positions together sum to the exact total.
 fn rounded(part: f64, index: usize) -> usize {
-    let up_to = |places: usize| (places as f64 * part + 0.5).floor();
-    (up_to(index + 1) - up_to(index)) as usize
+    let total_up_to = |positions: usize| (positions as f64 * part + 0.5).floor();
+    (total_up_to(index + 1) - total_up_to(index)) as usize
 }
--- a/crates/forming/src/record/domain_record.rs
+++ b/crates/forming/src/record/domain_record.rs
@@ -2,36 +2,36 @@
 use celeryhaven_types::{Generation, ModelName, NodeName, ReplicaName, VmName};
 
 data! {
-    /// What the deciders of one domain have planned.
+    /// The replicas planned by the coordinators of one domain.
     ///
-    /// Written under the condition that it is as it was read, before any target hears of a plan:
-    /// two deciders cannot both plan from the same record.
+    /// The record is written with a compare-and-swap before any target receives an order of the
+    /// plan, so that two coordinators cannot both plan from the same record.
     #[derive(Default)]
     #[serde(default)]
     pub struct DomainRecord {
-        /// Who wrote it last.
+        /// The node that wrote the record last.
         pub decider: Option<NodeName>,
-        /// Whether callers were served when it was written.
+        /// Whether callers were served when the record was written.
         pub serves_callers: bool,
         /// Planned replicas that may still exist.
         pub replicas: Vec<PlannedReplica>,
     }
 
-    /// One planned replica.
+    /// A planned replica.
     pub struct PlannedReplica {
-        /// Its name, never used for another list of members.
+        /// The name of the replica. A name is never reused for another list of members.
         pub replica: ReplicaName,
-        /// Its generation; `None` if that is the version of the write which planned it.
+        /// The generation, or `None` if it is the version of the write that added the plan.
         pub generation: Option<Generation>,
-        /// The model that it serves.
+        /// The model that the replica serves.
         pub model: ModelName,
-        /// Its members, the head first.
+        /// The members, the head first.
         pub members: Vec<VmName>,
     }
 }
 
 impl DomainRecord {
-    /// The record as read at a version, with that version filled in where it is the generation.
+    /// Sets the version at which the record was read as the generation of plans that have none.
     pub fn with_version(mut self, version: Generation) -> Self {
         for planned in &mut self.replicas {
             planned.generation.get_or_insert(version);
--- a/crates/forming/tests/common/toy.rs
+++ b/crates/forming/tests/common/fake_target.rs
@@ -1,4 +1,4 @@
-//! One toy target, and what the deciders know of its engine.
+//! A fake target, and the profile of its engine.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -10,25 +10,25 @@
     DataCentreName, DomainName, Generation, ModelName, ServiceName, TimeMs, VmName,
 };
 
-/// The service of all toy targets.
+/// The service of all fake targets.
 pub const SERVICE: &str = "models";
 
-/// How long a join takes where the model was served last.
+/// Duration of a join if the target served the model last.
 const REJOIN_MS: u64 = 200;
 
-/// One toy target.
+/// A fake target.
 #[derive(Clone, Debug)]
-pub struct Toy {
+pub struct FakeTarget {
     pub entry: TargetEntry,
     pub alive: bool,
-    /// Listed although it is dead, until then.
+    /// Until when a dead target stays listed.
     pub listed_until: Option<TimeMs>,
     pub ready_at: Option<TimeMs>,
     pub open_at: Option<TimeMs>,
-    /// What it stages, and how much of the load is left, in milliseconds at full speed.
+    /// The model being staged and the remaining load time in milliseconds at full speed.
     pub staging: Option<(ModelName, f64)>,
-    pub highest: Generation,
-    /// Orders it got, in order.
+    pub highest_generation: Generation,
+    /// Orders received, the oldest first.
     pub orders: Vec<TargetOrder>,
 }
 
@@ -60,8 +60,8 @@
     VmName::new(format!("vm-{number:02}"))
 }
 
-impl Toy {
-    /// An empty target.
+impl FakeTarget {
+    /// Creates an empty target.
     pub fn new(number: usize) -> Self {
         let entry = TargetEntry {
             name: name(number),
@@ -83,20 +83,20 @@
             ready_at: None,
             open_at: None,
             staging: None,
-            highest: Generation::new(0),
+            highest_generation: Generation::new(0),
             orders: Vec::new(),
         }
     }
 
-    /// Carries out an order, as a live target does.
+    /// Executes an order as a live target does.
     pub fn apply(&mut self, now: TimeMs, order: &TargetOrder, refuses_stage: bool) -> OrderOutcome {
         self.orders.push(order.clone());
         match order {
             TargetOrder::Join { replica, generation, model, members } => {
-                if *generation < self.highest {
+                if *generation < self.highest_generation {
                     return OrderOutcome::Refused;
                 }
-                self.highest = *generation;
+                self.highest_generation = *generation;
                 let load_ms = if self.entry.model.as_ref() == Some(model) {
                     REJOIN_MS
                 } else if self.entry.staged.contains(model) {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Lets a step pass, in which a load gets on by so much.
+    /// Advances by one step, in which a load progresses by `loaded_ms`.
     pub fn advance(&mut self, now: TimeMs, loaded_ms: f64) {
         if let Some(member) = self.entry.membership.as_mut() {
             if self.ready_at.is_some_and(|at| at <= now) {
@@ -176,10 +176,10 @@
                 member.state = MemberState::Open;
             }
         }
-        if let Some((_, left_ms)) = self.staging.as_mut() {
-            *left_ms -= loaded_ms;
+        if let Some((_, remaining_ms)) = self.staging.as_mut() {
+            *remaining_ms -= loaded_ms;
         }
-        if let Some((model, _)) = self.staging.take_if(|(_, left_ms)| *left_ms <= 0.0) {
+        if let Some((model, _)) = self.staging.take_if(|(_, remaining_ms)| *remaining_ms <= 0.0) {
             self.entry.staged = vec![model];
         }
     }
--- a/crates/forming/tests/common/mod.rs
+++ b/crates/forming/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A fabric domain of toy targets in virtual time, and deciders that order them.
+//! Simulation of a fabric domain of fake targets in virtual time, with its coordinators.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
-pub mod toy;
+pub mod fake_target;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -17,132 +17,131 @@
     DomainName, Generation, ModelName, NodeName, ReplicaName, ServiceName, TimeMs, VmName,
 };
 
-use toy::{SERVICE, Toy, profile};
+use fake_target::{FakeTarget, SERVICE, profile};
 
-/// Time of one step of the world.
+/// Duration of one step.
 pub const STEP_MS: u64 = 100;
 
-/// Lists of the past that deciders may see.
-const PAST_LISTS: usize = 200;
+/// Number of past target lists kept for lagging coordinators.
+const HISTORY_LEN: usize = 200;
 
-/// The targets of one domain, the record in the store, and one decider or more.
-pub struct World {
+/// The targets of one domain, the record in the store, and the coordinators.
+pub struct Simulation {
     pub now: TimeMs,
-    pub toys: BTreeMap<VmName, Toy>,
+    pub targets: BTreeMap<VmName, FakeTarget>,
     pub record: Option<(u64, DomainRecord)>,
     pub revision: u64,
     pub store_answers: bool,
-    pub deciders: Vec<DomainPlanner>,
-    versions: Vec<Option<u64>>,
-    /// How old the list is that each decider sees, in milliseconds.
+    pub coordinators: Vec<DomainPlanner>,
+    record_versions: Vec<Option<u64>>,
+    /// Age of the target list that each coordinator sees, in milliseconds.
     pub list_lag_ms: Vec<u64>,
-    /// Lists of the past, the oldest first.
-    past: VecDeque<(TimeMs, FleetView, BTreeSet<ReplicaKey>)>,
-    /// What the deciders know of the engines.
+    /// Past target lists, the oldest first.
+    history: VecDeque<(TimeMs, FleetView, BTreeSet<ReplicaKey>)>,
+    /// The engine profile given to the coordinators.
     pub profile: EngineProfile,
     pub traffic_seen: bool,
-    /// Whether it ever was, whatever a new decider knows of it.
-    callers_came: bool,
-    /// Violations of what must always hold.
-    pub faults: Vec<String>,
-    /// Orders that get no answer and are carried out at a later time.
-    pub delay_orders: Option<u64>,
-    delayed: Vec<(TimeMs, VmName, TargetOrder)>,
-    /// Targets that refuse to stage.
+    /// Whether callers were ever served, independent of what a new coordinator knows.
+    callers_served: bool,
+    /// Violated invariants.
+    pub violations: Vec<String>,
+    /// Delay of orders, which are then unanswered and executed late.
+    pub order_delay_ms: Option<u64>,
+    delayed_orders: Vec<(TimeMs, VmName, TargetOrder)>,
     pub refuses_stage: BTreeSet<VmName>,
-    hidden: BTreeSet<VmName>,
-    /// Replicas that the list has shown so far.
+    unlisted: BTreeSet<VmName>,
+    /// Replicas that have been listed so far.
     recently_listed: BTreeSet<ReplicaKey>,
-    /// Probes sent so far.
+    /// Number of probes sent.
     pub probes: usize,
-    /// Reads of the record so far.
+    /// Number of reads of the record.
     pub reads: usize,
     listed: FleetView,
     opened: BTreeMap<(ReplicaName, Generation), Vec<VmName>>,
 }
 
-impl World {
-    /// A domain of empty targets with one decider.
+impl Simulation {
+    /// Creates a domain of empty targets with one coordinator.
     pub fn new(targets: usize) -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: TimeMs::new(1_000),
-            toys: BTreeMap::new(),
+            targets: BTreeMap::new(),
             record: None,
             revision: 10,
             store_answers: true,
-            deciders: Vec::new(),
-            versions: Vec::new(),
+            coordinators: Vec::new(),
+            record_versions: Vec::new(),
             list_lag_ms: Vec::new(),
-            past: VecDeque::new(),
+            history: VecDeque::new(),
             profile: profile(),
             traffic_seen: false,
-            callers_came: false,
-            faults: Vec::new(),
-            delay_orders: None,
-            delayed: Vec::new(),
+            callers_served: false,
+            violations: Vec::new(),
+            order_delay_ms: None,
+            delayed_orders: Vec::new(),
             refuses_stage: BTreeSet::new(),
-            hidden: BTreeSet::new(),
+            unlisted: BTreeSet::new(),
             recently_listed: BTreeSet::new(),
             probes: 0,
             reads: 0,
             listed: FleetView::new(),
             opened: BTreeMap::new(),
         };
-        (0..targets).for_each(|number| world.add(number));
-        world.add_decider("entry-1");
-        world
+        (0..targets).for_each(|number| sim.add(number));
+        sim.add_coordinator("entry-1");
+        sim
     }
 
-    /// An empty target comes.
+    /// Adds an empty target.
     pub fn add(&mut self, number: usize) {
-        self.toys.insert(toy::name(number), Toy::new(number));
+        self.targets.insert(fake_target::name(number), FakeTarget::new(number));
     }
 
-    pub fn add_decider(&mut self, node: &str) {
+    pub fn add_coordinator(&mut self, node: &str) {
         let settings = FormingSettings::default();
         let domain = DomainName::new("rack");
-        self.deciders.push(DomainPlanner::new(self.now, domain, NodeName::new(node), settings));
-        self.versions.push(None);
+        self.coordinators.push(DomainPlanner::new(self.now, domain, NodeName::new(node), settings));
+        self.record_versions.push(None);
         self.list_lag_ms.push(0);
     }
 
-    /// A decider that sees the list as it was some time ago.
-    pub fn add_lagging_decider(&mut self, node: &str, lag_ms: u64) {
-        self.add_decider(node);
+    /// Adds a coordinator whose target list lags by `lag_ms`.
+    pub fn add_lagging_coordinator(&mut self, node: &str, lag_ms: u64) {
+        self.add_coordinator(node);
         self.list_lag_ms.pop();
         self.list_lag_ms.push(lag_ms);
     }
 
-    /// A decider is gone; what it had begun stays as it is.
-    pub fn drop_decider(&mut self, index: usize) {
-        self.deciders.remove(index);
-        self.versions.remove(index);
+    /// Removes a coordinator and leaves its unfinished work as it is.
+    pub fn remove_coordinator(&mut self, index: usize) {
+        self.coordinators.remove(index);
+        self.record_versions.remove(index);
         self.list_lag_ms.remove(index);
     }
 
-    /// A target goes silent; its entry lapses some seconds later.
+    /// Stops a target. Its entry lapses seconds later.
     pub fn kill(&mut self, target: &VmName) {
         let until = self.now.after(3_000);
-        if let Some(toy) = self.toys.get_mut(target) {
-            toy.alive = false;
-            toy.listed_until = Some(until);
+        if let Some(fake) = self.targets.get_mut(target) {
+            fake.alive = false;
+            fake.listed_until = Some(until);
         }
     }
 
-    /// A target loses the store: it is listed no more, and lives and serves on.
-    pub fn hide(&mut self, target: &VmName) {
-        self.hidden.insert(target.clone());
+    /// Removes a target from the list while it continues to serve.
+    pub fn unlist(&mut self, target: &VmName) {
+        self.unlisted.insert(target.clone());
     }
 
-    /// Another node decides, which has never seen what is not listed now.
-    pub fn replace_decider(&mut self, node: &str) {
+    /// Replaces the coordinator by one on another node, without any removed entries in its list.
+    pub fn replace_coordinator(&mut self, node: &str) {
         self.listed = FleetView::new();
-        self.drop_decider(0);
-        self.add_decider(node);
+        self.remove_coordinator(0);
+        self.add_coordinator(node);
     }
 
-    /// Another decider writes the record, and leaves its plans as they are.
-    pub fn write_by_another(&mut self) {
+    /// Writes the record as another coordinator would, with the same plans.
+    pub fn write_by_other_coordinator(&mut self) {
         self.revision += 1;
         let revision = self.revision;
         self.record = self
@@ -151,41 +150,41 @@
             .map(|(before, record)| (revision, record.with_version(Generation::new(before))));
     }
 
-    /// A target starts again under its name and holds nothing of before.
+    /// Restarts a target under its name, without its former state.
     pub fn restart(&mut self, target: &VmName) {
-        if let Some(toy) = self.toys.get_mut(target) {
-            toy.entry.membership = None;
-            toy.entry.model = None;
-            toy.entry.started_at_ms = Some(self.now.get());
-            toy.highest = Generation::new(0);
+        if let Some(fake) = self.targets.get_mut(target) {
+            fake.entry.membership = None;
+            fake.entry.model = None;
+            fake.entry.started_at_ms = Some(self.now.get());
+            fake.highest_generation = Generation::new(0);
         }
     }
 
-    /// A closing head has finished its work.
-    pub fn finish_work(&mut self, target: &VmName) {
-        let toy = self.toys.get_mut(target);
-        if let Some(member) = toy.and_then(|toy| toy.entry.membership.as_mut()) {
+    /// Lets a closing head finish its requests.
+    pub fn finish_requests(&mut self, target: &VmName) {
+        let fake = self.targets.get_mut(target);
+        if let Some(member) = fake.and_then(|fake| fake.entry.membership.as_mut()) {
             member.state = MemberState::Ready;
         }
     }
 
-    /// Heads that finish their work before their replica is taken apart.
+    /// Returns the live heads that are closing.
     pub fn closing_heads(&self) -> Vec<VmName> {
-        let closing = |toy: &&Toy| {
-            let member = toy.entry.membership.as_ref();
-            toy.alive && member.is_some_and(|member| member.state == MemberState::Closing)
+        let closing = |fake: &&FakeTarget| {
+            let member = fake.entry.membership.as_ref();
+            fake.alive && member.is_some_and(|member| member.state == MemberState::Closing)
         };
-        self.toys.values().filter(closing).map(|toy| toy.entry.name.clone()).collect()
+        self.targets.values().filter(closing).map(|fake| fake.entry.name.clone()).collect()
     }
 
-    /// Every closing head has finished its work.
-    pub fn finish_all_work(&mut self) {
+    /// Lets every closing head finish its requests.
+    pub fn finish_all_requests(&mut self) {
         for head in self.closing_heads() {
-            self.finish_work(&head);
+            self.finish_requests(&head);
         }
     }
 
-    /// Lets this much time pass.
+    /// Runs for `span_ms`.
     pub fn run_ms(&mut self, span_ms: u64) {
         let end = self.now.after(span_ms);
         while self.now < end {
@@ -193,41 +192,41 @@
         }
     }
 
-    /// Lets one step pass.
+    /// Runs one step.
     pub fn step(&mut self) {
         self.now = self.now.after(STEP_MS);
-        self.advance_toys();
+        self.advance_targets();
         self.listed = self.fleet();
         self.recently_listed.extend(self.listed.replicas().keys().cloned());
-        self.past.push_back((self.now, self.listed.clone(), self.recently_listed.clone()));
-        if self.past.len() > PAST_LISTS {
-            self.past.pop_front();
+        self.history.push_back((self.now, self.listed.clone(), self.recently_listed.clone()));
+        if self.history.len() > HISTORY_LEN {
+            self.history.pop_front();
         }
-        self.carry_out_delayed();
-        for index in 0..self.deciders.len() {
+        self.execute_delayed_orders();
+        for index in 0..self.coordinators.len() {
             let mut out = Vec::new();
             self.with_view(index, |planner, now, view| planner.step(now, view, &mut out));
-            self.carry_out(index, out);
+            self.execute(index, out);
         }
-        self.check();
+        self.assert_no_violations();
     }
 
-    /// Tells every decider that a replica stands still.
+    /// Reports a stalled replica to every coordinator.
     pub fn suspect(&mut self, target: &VmName) {
-        let Some(member) = self.toys[target].entry.membership.clone() else { return };
+        let Some(member) = self.targets[target].entry.membership.clone() else { return };
         let replica = ReplicaKey { replica: member.replica, generation: member.generation };
-        for index in 0..self.deciders.len() {
-            self.hear(index, FormingEvent::Suspected { replica: replica.clone() });
+        for index in 0..self.coordinators.len() {
+            self.handle(index, FormingEvent::Suspected { replica: replica.clone() });
         }
     }
 
-    /// Whole replicas that serve, by model.
+    /// Returns the number of whole, serving replicas by model.
     pub fn serving(&self) -> BTreeMap<String, usize> {
         let view = self.fleet();
         let mut serving = BTreeMap::new();
         for replica in view.replicas().values() {
             let size = replica.model.as_ref().and_then(|model| Some(profile().model(model)?.size));
-            let alive = replica.members.iter().flatten().all(|name| self.toys[name].alive);
+            let alive = replica.members.iter().flatten().all(|name| self.targets[name].alive);
             if alive && size.is_some_and(|size| replica.is_whole(size)) {
                 let model = replica.model.as_ref().map(ToString::to_string).unwrap_or_default();
                 *serving.entry(model).or_default() += 1;
@@ -236,7 +235,7 @@
         serving
     }
 
-    /// Members of a serving replica of a model, the head first.
+    /// Returns the members of a serving replica of a model, the head first.
     pub fn members_of(&self, model: &str) -> Vec<VmName> {
         let view = self.fleet();
         let replicas = view.replicas();
@@ -249,24 +248,25 @@
 
     pub fn fleet(&self) -> FleetView {
         let mut view = self.listed.clone();
-        let listed = self.toys.values().filter(|toy| {
-            let hidden = self.hidden.contains(&toy.entry.name);
-            !hidden && toy.alive || toy.listed_until.is_some_and(|until| until > self.now)
+        let listed = self.targets.values().filter(|fake| {
+            let unlisted = self.unlisted.contains(&fake.entry.name);
+            !unlisted && fake.alive || fake.listed_until.is_some_and(|until| until > self.now)
         });
-        view.replace(self.now, listed.map(|toy| toy.entry.clone()).collect());
+        view.replace(self.now, listed.map(|fake| fake.entry.clone()).collect());
         view.expire(self.now);
         view
     }
 
-    /// The list, and the replicas that it has shown, as a decider sees them.
-    fn seen_by(&self, index: usize) -> (FleetView, BTreeSet<ReplicaKey>) {
+    /// Returns the target list and the replicas listed so far, as seen by a coordinator.
+    fn list_of(&self, index: usize) -> (FleetView, BTreeSet<ReplicaKey>) {
         let lag_ms = self.list_lag_ms[index];
         if lag_ms == 0 {
             return (self.fleet(), self.recently_listed.clone());
         }
-        let mut past = self.past.iter().rev();
-        let seen = past.find(|(at, ..)| self.now.since(*at) >= lag_ms);
-        seen.map(|(_, fleet, recently_listed)| (fleet.clone(), recently_listed.clone()))
+        let mut history = self.history.iter().rev();
+        let listed = history.find(|(at, ..)| self.now.since(*at) >= lag_ms);
+        listed
+            .map(|(_, fleet, recently_listed)| (fleet.clone(), recently_listed.clone()))
             .unwrap_or_default()
     }
 
@@ -275,7 +275,7 @@
         index: usize,
         act: impl FnOnce(&mut DomainPlanner, TimeMs, FormingView<'_>),
     ) {
-        let (fleet, recently_listed) = self.seen_by(index);
+        let (fleet, recently_listed) = self.list_of(index);
         let profile = self.profile.clone();
         let service = ServiceName::new(SERVICE);
         let domains: Vec<_> = fleet.domains(&service).map(ListedDomain::new).collect();
@@ -288,31 +288,31 @@
             traffic_seen: self.traffic_seen,
             store_available: self.store_answers,
         };
-        act(&mut self.deciders[index], self.now, view);
+        act(&mut self.coordinators[index], self.now, view);
     }
 
-    pub fn hear(&mut self, index: usize, event: FormingEvent) {
+    pub fn handle(&mut self, index: usize, event: FormingEvent) {
         let mut out = Vec::new();
         self.with_view(index, |planner, now, view| planner.handle(now, view, event, &mut out));
-        self.carry_out(index, out);
+        self.execute(index, out);
     }
 
-    pub fn carry_out(&mut self, index: usize, actions: Vec<FormingAction>) {
+    pub fn execute(&mut self, index: usize, actions: Vec<FormingAction>) {
         for action in actions {
             match action {
                 FormingAction::ReadRecord => self.read_record(index),
                 FormingAction::WriteRecord { record } => self.write_record(index, record),
                 FormingAction::Order { id, target, order } => {
                     let outcome = self.order(&target, &order);
-                    self.hear(index, FormingEvent::OrderCompleted { id, outcome });
+                    self.handle(index, FormingEvent::OrderCompleted { id, outcome });
                 }
                 FormingAction::Probe { target } => {
                     self.probes += 1;
-                    let reachability = match self.toys.get(&target) {
-                        Some(toy) if toy.alive => Reachability::Answers,
+                    let reachability = match self.targets.get(&target) {
+                        Some(fake) if fake.alive => Reachability::Answers,
                         _ => Reachability::Silent,
                     };
-                    self.hear(index, FormingEvent::ProbeCompleted { target, reachability });
+                    self.handle(index, FormingEvent::ProbeCompleted { target, reachability });
                 }
                 FormingAction::LogChange { .. } => {}
             }
@@ -322,7 +322,7 @@
     fn read_record(&mut self, index: usize) {
         self.reads += 1;
         if !self.store_answers {
-            return self.hear(index, FormingEvent::RecordFailed);
+            return self.handle(index, FormingEvent::RecordFailed);
         }
         let (version, record) = match &self.record {
             Some((revision, record)) => {
@@ -330,34 +330,34 @@
             }
             None => (None, DomainRecord::default()),
         };
-        self.versions[index] = version;
-        self.hear(index, FormingEvent::RecordRead { record });
+        self.record_versions[index] = version;
+        self.handle(index, FormingEvent::RecordRead { record });
     }
 
     fn write_record(&mut self, index: usize, record: DomainRecord) {
-        let held = self.record.as_ref().map(|(revision, _)| *revision);
-        if !self.store_answers || held != self.versions[index] {
-            return self.hear(index, FormingEvent::RecordFailed);
+        let current = self.record.as_ref().map(|(revision, _)| *revision);
+        if !self.store_answers || current != self.record_versions[index] {
+            return self.handle(index, FormingEvent::RecordFailed);
         }
         self.revision += 1;
         self.record = Some((self.revision, record));
-        self.versions[index] = Some(self.revision);
+        self.record_versions[index] = Some(self.revision);
         let generation = Generation::new(self.revision);
-        self.hear(index, FormingEvent::RecordWritten { generation });
+        self.handle(index, FormingEvent::RecordWritten { generation });
     }
 
     fn order(&mut self, target: &VmName, order: &TargetOrder) -> OrderOutcome {
-        if let Some(delay_ms) = self.delay_orders {
-            self.delayed.push((self.now.after(delay_ms), target.clone(), order.clone()));
+        if let Some(delay_ms) = self.order_delay_ms {
+            self.delayed_orders.push((self.now.after(delay_ms), target.clone(), order.clone()));
             return OrderOutcome::Unanswered;
         }
         self.apply(target, order)
     }
 
-    fn carry_out_delayed(&mut self) {
+    fn execute_delayed_orders(&mut self) {
         let now = self.now;
-        let (due, later) = self.delayed.drain(..).partition(|(at, ..)| *at <= now);
-        self.delayed = later;
+        let (due, later) = self.delayed_orders.drain(..).partition(|(at, ..)| *at <= now);
+        self.delayed_orders = later;
         let due: Vec<(TimeMs, VmName, TargetOrder)> = due;
         for (_, target, order) in due {
             self.apply(&target, &order);
@@ -367,25 +367,26 @@
     fn apply(&mut self, target: &VmName, order: &TargetOrder) -> OrderOutcome {
         self.check_join(target, order);
         let refuses = self.refuses_stage.contains(target);
-        match self.toys.get_mut(target) {
+        match self.targets.get_mut(target) {
             None => OrderOutcome::Gone,
-            Some(toy) if !toy.alive => OrderOutcome::Unanswered,
-            Some(toy) => toy.apply(self.now, order, refuses),
+            Some(fake) if !fake.alive => OrderOutcome::Unanswered,
+            Some(fake) => fake.apply(self.now, order, refuses),
         }
     }
 
-    /// A target that joins another replica while the head of its own serves is in both.
+    /// Records a violation if a target joins another replica while the head of its own still
+    /// serves.
     fn check_join(&mut self, target: &VmName, order: &TargetOrder) {
         let TargetOrder::Join { replica, generation, .. } = order else { return };
-        let Some(toy) = self.toys.get(target) else { return };
-        let Some(member) = &toy.entry.membership else { return };
+        let Some(fake) = self.targets.get(target) else { return };
+        let Some(member) = &fake.entry.membership else { return };
         if member.replica == *replica && member.generation == *generation
-            || *generation < toy.highest
-            || !toy.alive
+            || *generation < fake.highest_generation
+            || !fake.alive
         {
             return;
         }
-        let head = self.toys.values().find(|other| {
+        let head = self.targets.values().find(|other| {
             other.alive
                 && other.entry.membership.as_ref().is_some_and(|other| {
                     other.replica == member.replica
@@ -396,27 +397,27 @@
         });
         if let Some(head) = head {
             let head = head.entry.name.clone();
-            self.faults.push(format!("{target} joins another replica while {head} is open"));
+            self.violations.push(format!("{target} joins another replica while {head} is open"));
         }
     }
 
-    fn advance_toys(&mut self) {
-        // Loads beyond what the weights store can do at once share its speed.
-        self.callers_came |= self.traffic_seen;
-        let share = match self.callers_came {
+    fn advance_targets(&mut self) {
+        // Loads beyond the limit of the weights store share its bandwidth.
+        self.callers_served |= self.traffic_seen;
+        let share = match self.callers_served {
             true => profile().loads_at_once / self.loads_under_way().max(1) as f64,
             false => 1.0,
         };
         let loaded_ms = STEP_MS as f64 * share.min(1.0);
         let now = self.now;
-        for toy in self.toys.values_mut().filter(|toy| toy.alive) {
-            toy.advance(now, loaded_ms);
+        for fake in self.targets.values_mut().filter(|fake| fake.alive) {
+            fake.advance(now, loaded_ms);
         }
-        self.note_opened();
+        self.check_opened();
     }
 
-    /// A head that opens must have all its members ready at that moment.
-    fn note_opened(&mut self) {
+    /// Records a violation if a head opens while a member is not ready.
+    fn check_opened(&mut self) {
         let view = self.fleet();
         for replica in view.replicas().values() {
             if replica.head_state != Some(MemberState::Open) {
@@ -428,42 +429,42 @@
             }
             let size = replica.model.as_ref().and_then(|model| Some(profile().model(model)?.size));
             if !size.is_some_and(|size| replica.is_complete(size) && replica.all_ready) {
-                self.faults.push(format!("{} opened without all its members", id.0));
+                self.violations.push(format!("{} opened without all its members", id.0));
             }
             let members = replica.members.iter().flatten().cloned().collect();
             self.opened.insert(id, members);
         }
     }
 
-    fn check(&self) {
-        assert!(self.faults.is_empty(), "{:?}", self.faults);
+    fn assert_no_violations(&self) {
+        assert!(self.violations.is_empty(), "{:?}", self.violations);
     }
 
-    /// Targets that stage a model now.
+    /// Returns the number of targets that are staging a model.
     pub fn loads_under_way(&self) -> usize {
-        self.toys.values().filter(|toy| toy.alive && toy.staging.is_some()).count()
+        self.targets.values().filter(|fake| fake.alive && fake.staging.is_some()).count()
     }
 
-    /// The model that a target was told last to stage.
-    pub fn staged_last(&self, target: &VmName) -> Option<&ModelName> {
-        self.toys[target].orders.iter().rev().find_map(|order| match order {
+    /// Returns the model that a target was last ordered to stage.
+    pub fn last_staged(&self, target: &VmName) -> Option<&ModelName> {
+        self.targets[target].orders.iter().rev().find_map(|order| match order {
             TargetOrder::Stage { model } => Some(model),
             _ => None,
         })
     }
 
-    /// Orders to stage that targets got.
-    pub fn loads(&self) -> usize {
-        self.toys.keys().map(|name| self.count_orders(name, "stage")).sum()
+    /// Returns the number of stage orders received by all targets.
+    pub fn stage_orders(&self) -> usize {
+        self.targets.keys().map(|name| self.count_orders(name, "stage")).sum()
     }
 
-    /// Orders to join that targets got.
-    pub fn joins(&self) -> usize {
-        self.toys.keys().map(|name| self.count_orders(name, "join")).sum()
+    /// Returns the number of join orders received by all targets.
+    pub fn join_orders(&self) -> usize {
+        self.targets.keys().map(|name| self.count_orders(name, "join")).sum()
     }
 
-    /// Orders of a kind that a target got.
-    pub fn count_orders(&self, target: &VmName, word: &str) -> usize {
-        self.toys[target].orders.iter().filter(|order| order.as_str() == word).count()
+    /// Returns the number of orders of a kind that a target received.
+    pub fn count_orders(&self, target: &VmName, kind: &str) -> usize {
+        self.targets[target].orders.iter().filter(|order| order.as_str() == kind).count()
     }
 }
--- a/crates/forming/tests/demand.rs
+++ b/crates/forming/tests/demand.rs
@@ -1,61 +1,64 @@
-//! Replicas of models whose demand changes while callers are served.
+//! Conversion of replicas when the demand for models changes.
 
 mod common;
 
-use common::World;
+use common::Simulation;
 
-/// Targets that serve both models by equal shares, each with the other model on its host.
-fn served() -> World {
-    let mut world = World::new(16);
-    world.run_ms(90_000);
-    world.traffic_seen = true;
-    world
+/// Returns a domain that serves both models, each target with the other model staged.
+fn serving_domain() -> Simulation {
+    let mut sim = Simulation::new(16);
+    sim.run_ms(90_000);
+    sim.traffic_seen = true;
+    sim
 }
 
-fn set_shares(world: &mut World, large: f64) {
-    world.profile.models[0].share = large;
-    world.profile.models[1].share = 1.0 - large;
+fn set_shares(sim: &mut Simulation, large: f64) {
+    sim.profile.models[0].share = large;
+    sim.profile.models[1].share = 1.0 - large;
 }
 
-fn run_and_finish(world: &mut World, span_ms: u64) {
+fn run_finishing_requests(sim: &mut Simulation, span_ms: u64) {
     for _ in 0..span_ms / 100 {
-        world.run_ms(100);
-        world.finish_all_work();
+        sim.run_ms(100);
+        sim.finish_all_requests();
     }
 }
 
-/// Guards against a model that stays short of replicas while another's are idle.
+/// A model must not stay short of replicas while replicas of another are idle.
 #[test]
 fn demand_moves_to_small() {
-    let mut world = served();
-    assert_eq!((world.serving()["large"], world.serving()["small"]), (2, 4));
-    set_shares(&mut world, 0.25);
-    run_and_finish(&mut world, 10_000);
-    assert_eq!((world.serving()["large"], world.serving()["small"]), (1, 6));
+    let mut sim = serving_domain();
+    assert_eq!((sim.serving()["large"], sim.serving()["small"]), (2, 4));
+    set_shares(&mut sim, 0.25);
+    run_finishing_requests(&mut sim, 10_000);
+    assert_eq!((sim.serving()["large"], sim.serving()["small"]), (1, 6));
 }
 
-/// Guards against replicas that are given up in turn for one another.
+/// Conversions must not alternate between the models.
 #[test]
-fn demand_settles() {
-    let mut world = served();
-    set_shares(&mut world, 0.25);
-    run_and_finish(&mut world, 10_000);
-    let loads = world.loads();
-    let joins = world.joins();
-    run_and_finish(&mut world, 60_000);
-    assert_eq!((world.joins(), world.serving()["large"]), (joins, 1));
-    assert!(world.loads() <= loads + 16, "a second model for each target at most");
+fn demand_change_converges() {
+    let mut sim = serving_domain();
+    set_shares(&mut sim, 0.25);
+    run_finishing_requests(&mut sim, 10_000);
+    let stage_orders = sim.stage_orders();
+    let join_orders = sim.join_orders();
+    run_finishing_requests(&mut sim, 60_000);
+    assert_eq!((sim.join_orders(), sim.serving()["large"]), (join_orders, 1));
+    assert!(
+        sim.stage_orders() <= stage_orders + 16,
+        "more than one second model staged per target"
+    );
 }
 
-/// Guards against replicas that are given up while the store is away: nothing can be formed of them.
+/// Replicas must not be dissolved while the store is unavailable, because none could be formed.
 #[test]
-fn demand_moves_while_store_is_away() {
-    let mut world = served();
-    world.store_answers = false;
-    set_shares(&mut world, 0.25);
-    run_and_finish(&mut world, 10_000);
-    assert_eq!((world.serving()["large"], world.serving()["small"]), (2, 4));
-    world.store_answers = true;
-    run_and_finish(&mut world, 10_000);
-    assert_eq!((world.serving()["large"], world.serving()["small"]), (1, 6));
+fn demand_moves_store_unavailable() {
+    let mut sim = serving_domain();
+    sim.store_answers = false;
+    set_shares(&mut sim, 0.25);
+    run_finishing_requests(&mut sim, 10_000);
+    assert_eq!((sim.serving()["large"], sim.serving()["small"]), (2, 4));
+    sim.store_answers = true;
+    run_finishing_requests(&mut sim, 10_000);
+    assert_eq!((sim.serving()["large"], sim.serving()["small"]), (1, 6));
 }
