--- a/crates/demand/tests/tree.rs
+++ b/crates/demand/tests/tree.rs
@@ -12,33 +12,33 @@
 }
 
 #[test]
-fn tree_sums_and_tells() {
+fn tree_sums_and_reports() {
     let now = TimeMs::new(10_000);
     let (mut root, mut relay, mut node) = (DemandTree::new(), DemandTree::new(), DemandTree::new());
     root.set_own(demand(1.0));
     relay.set_own(demand(2.0));
     node.set_own(demand(4.0));
-    relay.reported(now, NodeName::new("node"), node.sum(now));
-    root.reported(now, NodeName::new("relay"), relay.sum(now));
-    let fleet = root.fleet(now);
+    relay.apply_report(now, NodeName::new("node"), node.sum(now));
+    root.apply_report(now, NodeName::new("relay"), relay.sum(now));
+    let fleet = root.fleet_demand(now);
     assert_eq!((fleet.nodes, busy(&fleet)), (3, 7.0));
-    relay.told(now, fleet.clone());
-    node.told(now, relay.fleet(now));
-    assert_eq!(node.fleet(now), fleet);
+    relay.apply_fleet_demand(now, fleet.clone());
+    node.apply_fleet_demand(now, relay.fleet_demand(now));
+    assert_eq!(node.fleet_demand(now), fleet);
 }
 
 /// Guards against demand that is counted twice: a node follows another relay than before.
 #[test]
 fn tree_old_report_expires() {
     let mut root = DemandTree::new();
-    root.reported(TimeMs::new(0), NodeName::new("node"), demand(4.0));
+    root.apply_report(TimeMs::new(0), NodeName::new("node"), demand(4.0));
     assert_eq!(busy(&root.sum(TimeMs::new(1_000))), 4.0);
     assert_eq!(busy(&root.sum(TimeMs::new(5_000))), 0.0);
 }
 
 /// Guards against a demand that is far off while the first requests come.
 #[test]
-fn meter_first_moments() {
+fn meter_first_requests() {
     let mut meter = DemandMeter::new(8_000);
     let model = ModelName::new("small");
     (0..20).for_each(|tick| meter.add(TimeMs::new(tick * 50), &model, 100.0));
--- a/crates/gateway/src/control/deciding.rs
+++ b/crates/gateway/src/control/deciding.rs
@@ -94,7 +94,7 @@
         let Some(routes) = self.routes.clone() else { return };
         let Some((service, profile)) = engine(&routes) else { return };
         let targets = self.fleet.domains(service).map(|(_, targets)| targets.ready()).sum();
-        let fleet = tree.fleet(now);
+        let fleet = tree.fleet_demand(now);
         let size = FleetSize { nodes: self.peers.live() as u32 + 1, targets };
         if self.shares.update(&profile.models, profile.slots, size, &fleet) {
             for (model, share) in profile.models.iter().zip(self.shares.as_slice()) {
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -158,7 +158,7 @@
         let report = self.demand_report();
         let reply = ask_relay(&self.channels, relay, &question, report.as_ref()).await;
         let answer = reply.map(|reply| {
-            self.relay.demand.borrow_mut().told(BootClock.now(), reply.demand);
+            self.relay.demand.borrow_mut().apply_fleet_demand(BootClock.now(), reply.demand);
             reply.answer
         });
         match answer {
--- a/crates/gateway/src/control/relay/relay_state.rs
+++ b/crates/gateway/src/control/relay/relay_state.rs
@@ -92,7 +92,7 @@
         report: Option<DemandReport>,
     ) -> Response<AnswerBody> {
         if let Some(DemandReport { node, demand }) = report {
-            self.demand.borrow_mut().reported(BootClock.now(), node, demand);
+            self.demand.borrow_mut().apply_report(BootClock.now(), node, demand);
         }
         let log = self.log(question.kind);
         let answer = smol::future::or(log.answer(&question), async {
@@ -100,7 +100,7 @@
             log.nothing_new(&question)
         });
         let answer = answer.await;
-        let demand = self.demand.borrow_mut().fleet(BootClock.now());
+        let demand = self.demand.borrow_mut().fleet_demand(BootClock.now());
         match encode(&RelayReply { answer, demand }) {
             Some(bytes) => Response::new(AnswerBody::whole(bytes)),
             None => plain(StatusCode::INTERNAL_SERVER_ERROR),
