--- a/crates/demand/src/demand.rs
+++ b/crates/demand/src/demand.rs
@@ -4,7 +4,7 @@
 use celeryhaven_types::ModelName;
 
 data! {
-    /// Work offered of late, of one node or of many together.
+    /// Recently offered load of one node, or the sum of several nodes.
     ///
     /// ```
     /// use celeryhaven_demand::Demand;
@@ -17,9 +17,9 @@
     /// ```
     #[derive(Default)]
     pub struct Demand {
-        /// Nodes that it was measured on.
+        /// Number of nodes included.
         pub nodes: u32,
-        /// Slots that the work of each model would keep busy.
+        /// Slots that the offered load of each model would keep busy.
         pub busy_slots: BTreeMap<ModelName, f64>,
     }
 }
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The demand of a fleet of this many nodes, supposing that the others have as much each.
+    /// Extrapolates to a fleet of `nodes` nodes, assuming the same average demand per node.
     pub fn scaled_to(&self, nodes: u32) -> Self {
         let factor = f64::from(nodes) / f64::from(self.nodes.max(1));
         let busy_slots =
--- a/crates/demand/src/lib.rs
+++ b/crates/demand/src/lib.rs
@@ -1,16 +1,16 @@
-//! How much work callers offer for each model, and which part of the targets that asks for.
+//! Measures the offered load of each model and derives the models' shares of the targets.
 //!
-//! Each node meters the work that arrives at it. Nodes report it to the relay that they follow,
-//! relays report the sum of theirs to the relay above, and the root's sum comes back with its
-//! answers, so every node learns the demand of the whole fleet without a message of its own. No
-//! I/O: time comes in as an argument.
+//! Each node measures the load that its callers offer and reports it to the relay that it follows.
+//! Relays report the sum of their followers upstream, and the root's total comes back with its
+//! answers, so that every node learns the demand of the fleet without additional messages. The
+//! crate performs no I/O: the caller passes the time.
 //!
-//! | type | what it does |
+//! | type | purpose |
 //! |---|---|
-//! | [`DemandMeter`] | measures the work offered to one node |
-//! | [`Demand`] | what was measured, of one node or of many |
-//! | [`DemandTree`] | sums what the nodes below report, and keeps what the one above tells |
-//! | [`ModelShares`] | the part of the targets that each model should have |
+//! | [`DemandMeter`] | measures the load offered to one node |
+//! | [`Demand`] | the offered load of one node or of several |
+//! | [`DemandTree`] | sums the reports of followers and stores the demand of the fleet |
+//! | [`ModelShares`] | the share of the targets that each model should have |
 
 mod demand;
 mod meter;
--- a/crates/demand/src/shares.rs
+++ b/crates/demand/src/shares.rs
@@ -2,54 +2,52 @@
 
 use crate::Demand;
 
-/// Deviations of the number of busy slots that a model should have free besides.
+/// Free slots that a model should have, in standard deviations of its busy slots.
 ///
-/// Requests come at random, so the slots they keep busy vary by the root of their number.
-const SPARE_DEVIATIONS: f64 = 2.0;
+/// Random arrivals vary by the square root of their number.
+const HEADROOM_STD_DEVIATIONS: f64 = 2.0;
 
-/// Replicas that a model should have besides those that its work needs.
+/// Replicas that a model should have in addition to those that its load needs.
 ///
-/// One that is lost takes seconds to be formed again, and a model of few replicas loses most by it.
+/// A lost replica takes seconds to replace, which matters most for models with few replicas.
 const SPARE_REPLICAS: f64 = 2.0;
 
-/// Least part of its configured share that a model keeps.
-const CONFIGURED_PART_MIN: f64 = 0.25;
+/// Fraction of its configured share that a model always keeps.
+const CONFIGURED_FRACTION_MIN: f64 = 0.25;
 
-/// Change of a share, as a part of it, below which the shares stay as they are.
-const CHANGE_MIN: f64 = 0.2;
+/// Relative change of a share that triggers an update.
+const SHARE_CHANGE_MIN: f64 = 0.2;
 
-/// Part of the nodes whose demand must be known before it counts, as a divisor.
-///
-/// One node in eight sees enough requests to tell how much of each model is asked for.
-const NODES_PART_MIN: u32 = 8;
+/// An update needs reports from at least one in this many nodes.
+const REPORTING_NODES_DIVISOR: u32 = 8;
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Nodes that callers send to.
+    /// Nodes that callers send requests to.
     pub nodes: u32,
-    /// Targets that take new work.
+    /// Targets that accept new requests.
     pub targets: usize,
 }
 
-/// The part of a service's targets that each of its models should have.
+/// Share of a service's targets for each of its models.
 ///
-/// Load pattern: requests for the models in other proportions than the operators configured. Follows
-/// the work that callers offer, with the configured shares as a floor and until work is offered.
+/// Follows the offered load when it differs from the proportions that the operators configured. The
+/// configured shares apply until load is offered, and set a lower bound afterwards.
 #[derive(Clone, Debug, Default)]
 pub struct ModelShares {
-    /// In the order of the models that they were worked out for.
+    /// In the order of the models passed to `update`.
     shares: Vec<f64>,
 }
 
 impl ModelShares {
-    /// The configured shares.
+    /// Creates shares that leave the configured ones in place.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over the demand of a fleet of this size whose replicas have so many slots; true if a share
-    /// has changed.
+    /// Applies the demand of a fleet whose replicas have `slots` slots each. Returns whether the
+    /// shares have changed.
     pub fn update(
         &mut self,
         models: &[ModelProfile],
@@ -57,13 +55,13 @@
         size: FleetSize,
         demand: &Demand,
     ) -> bool {
-        if demand.nodes == 0 || demand.nodes * NODES_PART_MIN < size.nodes {
+        if demand.nodes == 0 || demand.nodes * REPORTING_NODES_DIVISOR < size.nodes {
             return false;
         }
         let demand = demand.scaled_to(size.nodes);
-        let Some(shares) = wanted(models, slots, size.targets, &demand) else { return false };
+        let Some(shares) = shares_for(models, slots, size.targets, &demand) else { return false };
         let has_changed =
-            |(before, after): (&f64, &f64)| (after - before).abs() > before * CHANGE_MIN;
+            |(before, after): (&f64, &f64)| (after - before).abs() > before * SHARE_CHANGE_MIN;
         let same_models = self.shares.len() == shares.len();
         if same_models && !self.shares.iter().zip(&shares).any(has_changed) {
             return false;
@@ -72,12 +70,13 @@
         true
     }
 
-    /// The shares, in the order of the models; empty while the configured ones hold.
+    /// Returns the shares in the order of the models, or an empty slice while the configured ones
+    /// apply.
     pub fn as_slice(&self) -> &[f64] {
         &self.shares
     }
 
-    /// Puts the shares in place of the configured ones.
+    /// Replaces the configured shares of the models.
     pub fn apply(&self, models: &mut [ModelProfile]) {
         if self.shares.len() == models.len() {
             models.iter_mut().zip(&self.shares).for_each(|(model, share)| model.share = *share);
@@ -85,11 +84,11 @@
     }
 }
 
-/// Shares by the targets that each model's work needs; `None` without any work.
+/// Returns shares by the targets that each model's load needs, or `None` without any load.
 ///
-/// What all models need besides spare replicas is scaled to all targets, so that spares of a large
-/// model do not grow with what is left over.
-fn wanted(
+/// The need without spare replicas is scaled to the remaining targets, so that the spares of a
+/// large model do not grow with the size of the fleet.
+fn shares_for(
     models: &[ModelProfile],
     slots: u32,
     targets: usize,
@@ -106,15 +105,15 @@
     let rest = (targets as f64 - all_spares).max(all_work);
     let part = |((model, work), spares): ((&ModelProfile, &f64), &f64)| {
         let needed = work / all_work * rest + spares;
-        needed.max(model.share / configured * CONFIGURED_PART_MIN * (rest + all_spares))
+        needed.max(model.share / configured * CONFIGURED_FRACTION_MIN * (rest + all_spares))
     };
     let parts: Vec<f64> = models.iter().zip(&work).zip(&spares).map(part).collect();
     let sum: f64 = parts.iter().sum();
     Some(parts.into_iter().map(|part| part / sum).collect())
 }
 
-/// Targets that the work of a model keeps busy, with room for its variation.
+/// Returns the targets that a model's load needs, with headroom for its variation.
 fn work_targets(model: &ModelProfile, slots: u32, demand: &Demand) -> f64 {
     let busy = demand.busy_slots.get(&model.name).copied().unwrap_or_default();
-    (busy + SPARE_DEVIATIONS * busy.sqrt()) / f64::from(slots.max(1)) * model.size as f64
+    (busy + HEADROOM_STD_DEVIATIONS * busy.sqrt()) / f64::from(slots.max(1)) * model.size as f64
 }
--- a/crates/demand/src/tree.rs
+++ b/crates/demand/src/tree.rs
@@ -4,12 +4,12 @@
 
 use crate::Demand;
 
-/// How long a report counts without another, in milliseconds.
+/// Time after which a report expires, in milliseconds.
 ///
-/// Nodes ask their relay about once a second; one that does not for some seconds follows another.
+/// Nodes report about once a second. A node that does not may follow another relay.
 const REPORT_TTL_MS: u64 = 4_000;
 
-/// Sums the demand of the nodes that follow this one, and keeps that of the fleet.
+/// Sums the demand of this node and its followers, and stores that of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTree {
     own: Demand,
@@ -18,27 +18,27 @@
 }
 
 impl DemandTree {
-    /// Knows of no demand yet.
+    /// Creates an empty tree.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over what this node has measured.
+    /// Sets the demand measured on this node.
     pub fn set_own(&mut self, own: Demand) {
         self.own = own;
     }
 
-    /// Takes over the sum of a node that follows this one.
+    /// Applies the report of a follower.
     pub fn apply_report(&mut self, now: TimeMs, node: NodeName, demand: Demand) {
         self.reports.insert(node, (demand, now));
     }
 
-    /// Takes over the demand of the fleet from the node that this one follows.
+    /// Applies the demand of the fleet as received from upstream.
     pub fn apply_fleet_demand(&mut self, now: TimeMs, fleet: Demand) {
         self.fleet = Some((fleet, now));
     }
 
-    /// The sum of this node and of those that follow it.
+    /// Returns the demand of this node and its followers.
     pub fn sum(&mut self, now: TimeMs) -> Demand {
         self.reports.retain(|_, (_, at)| now.since(*at) < REPORT_TTL_MS);
         let mut sum = self.own.clone();
@@ -46,7 +46,7 @@
         sum
     }
 
-    /// The demand of the fleet, or of the largest part of it that is known.
+    /// Returns the demand of the fleet, or of the largest part of it that is known.
     pub fn fleet_demand(&mut self, now: TimeMs) -> Demand {
         let sum = self.sum(now);
         let reported = self.fleet.as_ref().filter(|(_, at)| now.since(*at) < REPORT_TTL_MS);
--- a/crates/demand/tests/shares.rs
+++ b/crates/demand/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of the targets by the work that callers offer.
+//! Shares of the targets by offered load.
 
 use celeryhaven_demand::{Demand, FleetSize, ModelShares};
 use celeryhaven_fleet::ModelProfile;
@@ -39,7 +39,7 @@
     assert_eq!(shares(&tracked, &models), [0.5, 0.5]);
 }
 
-/// Guards against a model that is starved of targets while another's idle.
+/// A model must not lack targets while another's are idle.
 #[test]
 fn shares_demand_swapped() {
     let models = [model("large", 8), model("small", 2)];
@@ -52,7 +52,7 @@
     assert!(after[0] > 0.85 && after[1] >= 0.1, "{after:?}");
 }
 
-/// Guards against a model without replicas: nothing of it is asked for at the moment.
+/// A model without demand must keep replicas.
 #[test]
 fn shares_idle_model_keeps_floor() {
     let models = [model("large", 8), model("middle", 4), model("small", 2)];
@@ -62,7 +62,7 @@
     assert!(large > 0.05 && middle > 0.05 && small > 0.7, "{large} {middle} {small}");
 }
 
-/// Guards against loads without end: shares that follow each wave of the demand.
+/// Noise in the demand must not keep changing the shares, because each change can cause loads.
 #[test]
 fn shares_noise_changes_nothing() {
     let models = [model("large", 8), model("small", 2)];
@@ -82,7 +82,7 @@
     assert!(changes <= 3, "{changes} changes of the shares");
 }
 
-/// Guards against shares that stay behind a demand that moves slowly.
+/// Shares must follow a demand that changes slowly.
 #[test]
 fn shares_demand_drifts() {
     let models = [model("large", 8), model("small", 2)];
@@ -100,8 +100,7 @@
     assert!(end[0] > 0.8, "{end:?}");
 }
 
-/// Guards against a large model that its demand leaves with two or three replicas, of which one is
-/// always being formed again.
+/// A large model with few replicas must have spares, because one is often being replaced.
 #[test]
 fn shares_few_replicas_have_spares() {
     let models = [model("large", 8), model("small", 2)];
@@ -116,7 +115,7 @@
     assert!((0.35..0.5).contains(&large), "{large}");
 }
 
-/// Guards against shares by spare replicas alone, before the first request.
+/// Spare replicas must not change the shares before the first request.
 #[test]
 fn shares_nodes_without_work() {
     let models = [model("large", 8), model("small", 2)];
@@ -125,7 +124,7 @@
     assert_eq!(shares(&tracked, &models), [0.5, 0.5]);
 }
 
-/// Guards against shares by the requests of a single node of many.
+/// The requests of a single node must not set the shares of a large fleet.
 #[test]
 fn shares_few_nodes_known() {
     let models = [model("large", 8), model("small", 2)];
--- a/crates/demand/tests/tree.rs
+++ b/crates/demand/tests/tree.rs
@@ -27,7 +27,7 @@
     assert_eq!(node.fleet_demand(now), fleet);
 }
 
-/// Guards against demand that is counted twice: a node follows another relay than before.
+/// A node that follows another relay than before must not be counted twice.
 #[test]
 fn tree_old_report_expires() {
     let mut root = DemandTree::new();
@@ -36,7 +36,7 @@
     assert_eq!(busy(&root.sum(TimeMs::new(5_000))), 0.0);
 }
 
-/// Guards against a demand that is far off while the first requests come.
+/// The first requests must not produce an estimate that is far off.
 #[test]
 fn meter_first_requests() {
     let mut meter = DemandMeter::new(8_000);
