--- a/crates/forming/src/mix/mod.rs
+++ b/crates/forming/src/mix/mod.rs
@@ -1,7 +1,7 @@
-//! How many replicas of each model a domain of some size should hold.
+//! How many replicas of each model a domain should have.
 
 mod balance;
 mod wanted;
 
 pub use balance::Balance;
-pub use wanted::{DomainPlace, ModelCount, wanted_replicas};
+pub use wanted::{DomainPosition, ModelCount, wanted_replicas};
