--- a/crates/http/src/client/channel.rs
+++ b/crates/http/src/client/channel.rs
@@ -14,10 +14,9 @@
 use crate::client::error::{BrokenSnafu, ConnectSnafu};
 use crate::socket::{SmolIo, set_silence_timeout};
 
-/// One connection to a target, which carries one exchange at a time.
+/// A connection to a target, which carries one exchange at a time.
 ///
-/// Dropping it closes the connection at once, which is how a target learns that a request was
-/// given up.
+/// Dropping it closes the connection at once, which cancels a running request at the target.
 #[derive(Debug)]
 pub struct Channel {
     sender: SendRequest<Full<Bytes>>,
@@ -27,26 +26,26 @@
 impl Channel {
     /// Connects to a target.
     ///
-    /// `silence` is how long the target may leave bytes unacknowledged.
+    /// `silence` is the maximum time that sent bytes may stay unacknowledged.
     ///
     /// # Errors
     ///
-    /// No connection within `timeout`; nothing was sent.
+    /// Returns an error if no connection is established within `timeout`.
     pub async fn connect(
         executor: &LocalExecutor<'_>,
         address: SocketAddr,
         timeout: Duration,
         silence: Duration,
     ) -> Result<Self, ChannelError> {
-        let late = async {
+        let timed_out = async {
             Timer::after(timeout).await;
             Err(ChannelError::ConnectTimeout { timeout_ms: timeout.as_millis() as u64 })
         };
         let connect = async { Async::<TcpStream>::connect(address).await.context(ConnectSnafu) };
-        let stream = smol::future::or(connect, late).await?;
+        let stream = smol::future::or(connect, timed_out).await?;
         set_silence_timeout(stream.get_ref(), silence).context(ConnectSnafu)?;
         let (sender, connection) = handshake(SmolIo::new(stream)).await.context(BrokenSnafu)?;
-        // Its end shows at the sender: an exchange in progress fails, an idle channel is closed.
+        // The sender reports a connection error: a running exchange fails, an idle sender closes.
         let task = executor.spawn(async move { connection.await.unwrap_or_default() });
         Ok(Self { sender, _connection: task })
     }
@@ -55,7 +54,8 @@
     ///
     /// # Errors
     ///
-    /// [`ChannelError::Ended`] if nothing was sent, [`ChannelError::Broken`] if bytes may have left.
+    /// Returns [`ChannelError::Ended`] if nothing was sent, and [`ChannelError::Broken`] if the
+    /// request may have been sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -68,15 +68,15 @@
         })
     }
 
-    /// Whether it can carry another exchange: the last one is over and the connection stands.
+    /// Whether the last exchange is complete and the connection is open.
     ///
-    /// A target that sends bytes which nobody asked for closes its channel, so a late answer is
-    /// never read as the answer to the next request.
+    /// Unexpected bytes from the target close the connection, so that a late answer is never read
+    /// as the answer to the next request.
     pub fn is_idle(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the last exchange is over; false if the connection ended with it.
+    /// Waits until the last exchange is complete; returns whether the connection is still open.
     pub async fn settle(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/http/src/client/error.rs
+++ b/crates/http/src/client/error.rs
@@ -1,29 +1,29 @@
 use celeryhaven_types::Verdict;
 use snafu::Snafu;
 
-/// Why an exchange on a channel gave no answer.
+/// Reason for an exchange without an answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ChannelError {
-    /// No connection could be made; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     #[snafu(display("no connection: {source}; check that the target listens"))]
     Connect {
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The connection did not stand in time; nothing was sent.
-    #[snafu(display("no connection after {timeout_ms} ms; check the path to the target"))]
+    /// The connection was not established in time; nothing was sent.
+    #[snafu(display("no connection after {timeout_ms} ms; check the network path to the target"))]
     ConnectTimeout {
-        /// How long was waited.
+        /// Time limit, in milliseconds.
         timeout_ms: u64,
     },
-    /// The connection had ended before anything was sent.
-    #[snafu(display("the connection had ended; use another"))]
+    /// The connection was closed before anything was sent.
+    #[snafu(display("connection already closed; open a new one"))]
     Ended,
-    /// The exchange broke off after bytes may have left.
-    #[snafu(display("the exchange broke off: {source}"))]
+    /// The exchange failed after the request may have been sent.
+    #[snafu(display("exchange failed after the request may have been sent: {source}"))]
     Broken {
-        /// What was wrong.
+        /// Error of the HTTP connection.
         source: hyper::Error,
     },
 }
--- a/crates/http/src/client/mod.rs
+++ b/crates/http/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! One channel to a target, and the pool of those that are idle.
+//! A connection to a target, and the pool of idle connections.
 
 mod channel;
 mod error;
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -11,41 +11,42 @@
 /// Settings of a [`ChannelPool`].
 #[derive(Clone, Copy, Debug)]
 pub struct PoolSettings {
-    /// Longest wait for a connection.
+    /// Maximum time to connect.
     pub connect_timeout: Duration,
-    /// Longest time that a target may leave bytes unacknowledged.
+    /// Maximum time that sent bytes may stay unacknowledged.
     pub silence: Duration,
-    /// Longest time that a channel is kept idle.
+    /// Maximum time that a connection stays in the pool.
     pub idle: Duration,
-    /// Idle channels kept for each target.
+    /// Maximum number of idle connections per target.
     pub idle_max: usize,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     channel: Channel,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Channels to targets that are idle, by address.
+/// A pool of idle connections to targets, by address.
 #[derive(Clone, Debug)]
 pub struct ChannelPool {
     executor: Rc<LocalExecutor<'static>>,
     settings: PoolSettings,
-    idle: Rc<RefCell<Map<SocketAddr, Vec<Idle>>>>,
+    idle: Rc<RefCell<Map<SocketAddr, Vec<IdleConnection>>>>,
 }
 
 impl ChannelPool {
-    /// An empty pool whose channels run on this executor.
+    /// Creates an empty pool whose connections run on this executor.
     pub fn new(executor: Rc<LocalExecutor<'static>>, settings: PoolSettings) -> Self {
         Self { executor, settings, idle: Rc::default() }
     }
 
-    /// The channel that was used last and still stands, or a new one; true if it is new.
+    /// Returns the most recently pooled connection that is still open, or a new one, and whether it
+    /// is new.
     ///
     /// # Errors
     ///
-    /// No connection; nothing was sent.
+    /// Returns an error if no connection can be established.
     pub async fn take(&self, address: SocketAddr) -> Result<(Channel, bool), ChannelError> {
         match self.take_idle(address) {
             Some(channel) => Ok((channel, false)),
@@ -53,23 +54,25 @@
         }
     }
 
-    /// A new channel.
+    /// Opens a new connection.
     ///
     /// # Errors
     ///
-    /// No connection; nothing was sent.
+    /// Returns an error if no connection can be established.
     pub async fn connect(&self, address: SocketAddr) -> Result<Channel, ChannelError> {
         let PoolSettings { connect_timeout, silence, .. } = self.settings;
         Channel::connect(&self.executor, address, connect_timeout, silence).await
     }
 
-    /// Keeps a channel whose exchange ended whole; `keep` is how long the target keeps it.
-    pub fn put(&self, address: SocketAddr, channel: Channel, keep: Option<Duration>) {
-        let keep = keep.unwrap_or(self.settings.idle).min(self.settings.idle);
+    /// Returns a connection whose exchange is complete to the pool.
+    ///
+    /// `keep_alive` is the time after which the target closes an idle connection, if known.
+    pub fn put(&self, address: SocketAddr, channel: Channel, keep_alive: Option<Duration>) {
+        let lifetime = keep_alive.unwrap_or(self.settings.idle).min(self.settings.idle);
         let mut idle = self.idle.borrow_mut();
         let channels = idle.entry(address).or_default();
-        if channels.len() < self.settings.idle_max && !keep.is_zero() {
-            channels.push(Idle { channel, until: Instant::now() + keep });
+        if channels.len() < self.settings.idle_max && !lifetime.is_zero() {
+            channels.push(IdleConnection { channel, expires_at: Instant::now() + lifetime });
         }
     }
 
@@ -77,7 +80,7 @@
         let mut idle = self.idle.borrow_mut();
         let channels = idle.get_mut(&address)?;
         let now = Instant::now();
-        channels.retain(|kept| kept.until > now && kept.channel.is_idle());
-        channels.pop().map(|kept| kept.channel)
+        channels.retain(|idle| idle.expires_at > now && idle.channel.is_idle());
+        channels.pop().map(|idle| idle.channel)
     }
 }
--- a/crates/http/src/events/event_splitter.rs
+++ b/crates/http/src/events/event_splitter.rs
@@ -1,14 +1,12 @@
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held until it is whole, in bytes.
-///
-/// Guards against a target that never ends its event: memory would grow with the stream.
+/// Maximum size of a buffered event, in bytes.
 const EVENT_BYTES_MAX: usize = 1 << 20;
 
-/// Cuts a stream into whole events, so that another target can go on after the last one.
+/// Splits a stream into complete events, so that another target can resume it after the last one.
 ///
-/// Guards against a piece that is lost or comes twice: a target may stop in the middle of an
-/// event, and the next run begins with the event after the last whole one.
+/// An event that a target sent only in part is not forwarded, because the target that resumes the
+/// stream sends it again.
 ///
 /// ```
 /// use celeryhaven_http::EventSplitter;
@@ -25,52 +23,52 @@
 }
 
 impl EventSplitter {
-    /// A splitter for a stream that goes on after this event.
+    /// Creates a splitter for a stream that resumes after this event.
     pub fn new(last_id: Option<String>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
-    /// Takes bytes and gives back the whole events that they complete.
+    /// Appends bytes and returns all buffered events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
         let end = end_of_events(&self.pending)?;
-        let whole = self.pending.split_to(end).freeze();
-        self.note_ids(&whole);
-        Some(whole)
+        let complete = self.pending.split_to(end).freeze();
+        self.record_ids(&complete);
+        Some(complete)
     }
 
-    /// Whether bytes of an unfinished event are held.
+    /// Whether part of an event is buffered.
     pub fn is_inside_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Whether the unfinished event is longer than any that is accepted.
+    /// Whether the buffered part of an event exceeds the size limit.
     pub fn is_too_long(&self) -> bool {
         self.pending.len() > EVENT_BYTES_MAX
     }
 
-    /// Forgets an unfinished event.
+    /// Discards the buffered part of an event.
     pub fn drop_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// Takes what is left, such as the end of a stream that cannot be resumed.
+    /// Removes and returns the buffered bytes.
     pub fn take_pending(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whole events so far.
+    /// Returns the number of complete events with an id.
     pub fn events(&self) -> u32 {
         self.events
     }
 
-    fn note_ids(&mut self, whole: &[u8]) {
-        for line in whole.split(|&byte| byte == b'\n') {
+    fn record_ids(&mut self, events: &[u8]) {
+        for line in events.split(|&byte| byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let Some(id) = line.strip_prefix(b"id:") else { continue };
             let id = id.strip_prefix(b" ").unwrap_or(id);
@@ -80,10 +78,10 @@
     }
 }
 
-/// End of the last blank line, if there is one.
+/// Returns the index after the last blank line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
-    let lf = find_last(bytes, b"\n\n").map(|place| place + 2);
-    let crlf = find_last(bytes, b"\r\n\r\n").map(|place| place + 4);
+    let lf = find_last(bytes, b"\n\n").map(|index| index + 2);
+    let crlf = find_last(bytes, b"\r\n\r\n").map(|index| index + 4);
     lf.max(crlf)
 }
 
--- a/crates/http/src/events/mod.rs
+++ b/crates/http/src/events/mod.rs
@@ -1,4 +1,4 @@
-//! Streams of events, cut where another target can go on.
+//! Splitting of event streams at event boundaries.
 
 mod event_splitter;
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,14 +1,14 @@
-//! HTTP/1.1 over smol: channels to targets and a server for callers.
+//! HTTP/1.1 over smol: connections to targets and a server for callers.
 //!
 //! | module | what it holds |
 //! |---|---|
 //! | [`socket`] | TCP sockets and timers for `hyper` |
-//! | [`client`] | one channel to a target, and the pool of those that are idle |
-//! | [`events`] | streams of events, cut where another target can go on |
+//! | [`client`] | a connection to a target, and the pool of idle connections |
+//! | [`events`] | splitting of event streams at event boundaries |
 //! | [`server`] | the listener for callers |
 //!
-//! `hyper` stands here and not `trillium`: a handler of `trillium` is not told that its caller has
-//! left before the answer begins, and a channel of its client cannot be given up by itself.
+//! This crate uses `hyper` because `trillium` does not notify a handler when its caller disconnects
+//! before the answer begins, and its client cannot close a single connection.
 
 pub mod client;
 pub mod events;
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -1,19 +1,19 @@
 use std::time::Duration;
 
-/// What a caller may take.
+/// Limits for each connection of a caller.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes_max: usize,
-    /// Longest time that a channel may stay idle, or a head may take.
+    /// Maximum time that a connection may stay idle or that reading a request head may take.
     pub idle: Duration,
 }
 
-/// Least buffer that `hyper` accepts, in bytes.
+/// Minimum buffer size that `hyper` accepts, in bytes.
 const BUFFER_BYTES_MIN: usize = 8_192;
 
 impl ServerLimits {
-    /// Size of the buffer that holds a head.
+    /// Returns the size of the buffer for a request head, in bytes.
     pub(crate) fn buffer_bytes(&self) -> usize {
         self.header_bytes_max.max(BUFFER_BYTES_MIN)
     }
--- a/crates/http/src/server/listener.rs
+++ b/crates/http/src/server/listener.rs
@@ -19,16 +19,16 @@
 use crate::server::{ServerLimits, StopSignal};
 use crate::socket::{SmolIo, SmolTimer, set_silence_timeout};
 
-/// Pause after an accept that failed, such as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a caller may leave bytes unacknowledged before its connection is given up.
-const CALLER_SILENCE: Duration = Duration::from_secs(5);
+/// Maximum time that bytes sent to a caller may stay unacknowledged.
+const CALLER_TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts connections and hands their requests to a handler.
+/// Accepts connections and passes their requests to a handler.
 ///
-/// A handler's future is dropped when its caller closes the connection before the answer begins;
-/// an answer's body is dropped when the caller leaves in the middle of it.
+/// If a caller disconnects, the handler's future is dropped before the answer begins, and the body
+/// of the answer is dropped afterwards.
 #[derive(Debug)]
 pub struct Listener {
     listener: Async<TcpListener>,
@@ -37,40 +37,42 @@
 }
 
 impl Listener {
-    /// Listens at an address.
+    /// Binds a listener to an address.
     ///
     /// # Errors
     ///
-    /// The address cannot be had.
+    /// Returns an error if the address cannot be bound.
     pub fn bind(address: SocketAddr, limits: Rc<Cell<ServerLimits>>) -> io::Result<Self> {
         let listener = Async::<TcpListener>::bind(address)?;
         Ok(Self { listener, limits, open: Rc::default() })
     }
 
-    /// Takes over a socket that listens already, such as one that another thread has opened.
+    /// Creates a listener from a socket that is already listening.
     ///
     /// # Errors
     ///
-    /// The socket cannot be used without blocking.
+    /// Returns an error if the socket cannot be made non-blocking.
     pub fn from_socket(socket: TcpListener, limits: Rc<Cell<ServerLimits>>) -> io::Result<Self> {
         Ok(Self { listener: Async::new(socket)?, limits, open: Rc::default() })
     }
 
-    /// Where it listens.
+    /// Returns the local address.
     ///
     /// # Errors
     ///
-    /// The system does not tell.
+    /// Returns an error if the operating system does not provide the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.get_ref().local_addr()
     }
 
-    /// Counts the connections that are open.
+    /// Returns the shared count of open connections.
     pub fn open(&self) -> Rc<Cell<usize>> {
         self.open.clone()
     }
 
-    /// Serves until the stop signal; connections end by themselves after it.
+    /// Accepts connections until the stop signal.
+    ///
+    /// Connections that are open at the signal close once their exchange is complete.
     pub async fn serve<H, F, B>(
         self,
         executor: Rc<LocalExecutor<'static>>,
@@ -90,8 +92,9 @@
                 None => return,
                 Some(Ok((stream, _))) => {
                     let limits = self.limits.get();
-                    let guard = Open::new(self.open.clone());
-                    let connection = serve_one(stream, limits, stop.clone(), handler.clone());
+                    let guard = OpenGuard::new(self.open.clone());
+                    let connection =
+                        serve_connection(stream, limits, stop.clone(), handler.clone());
                     let serve = async move {
                         connection.await;
                         drop(guard);
@@ -99,29 +102,30 @@
                     executor.spawn(serve).detach();
                 }
                 Some(Err(_)) => {
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-struct Open(Rc<Cell<usize>>);
+/// Counts a connection as open until it is dropped.
+struct OpenGuard(Rc<Cell<usize>>);
 
-impl Open {
+impl OpenGuard {
     fn new(count: Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-async fn serve_one<H, F, B>(
+async fn serve_connection<H, F, B>(
     stream: Async<TcpStream>,
     limits: ServerLimits,
     stop: StopSignal,
@@ -131,8 +135,9 @@
     F: Future<Output = Response<B>> + 'static,
     B: Body<Data = Bytes, Error: std::error::Error + Send + Sync> + 'static,
 {
-    // A socket without the options still serves; a silent caller then holds it for longer.
-    set_silence_timeout(stream.get_ref(), CALLER_SILENCE).unwrap_or_default();
+    // Without the socket options the connection still works, but an unreachable caller keeps it
+    // open for longer.
+    set_silence_timeout(stream.get_ref(), CALLER_TCP_USER_TIMEOUT).unwrap_or_default();
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move { Ok::<_, Infallible>(answer.await) }
@@ -144,13 +149,13 @@
         .auto_date_header(false)
         .serve_connection(SmolIo::new(stream), service);
     let mut connection = pin!(connection);
-    let ended = smol::future::or(async { Some(connection.as_mut().await) }, async {
+    let completed = smol::future::or(async { Some(connection.as_mut().await) }, async {
         stop.stopped().await;
         None
     });
-    if ended.await.is_none() {
+    if completed.await.is_none() {
         connection.as_mut().graceful_shutdown();
-        // A caller that breaks off ends its own connection and nothing else.
+        // An error affects only this connection.
         connection.await.unwrap_or_default();
     }
 }
--- a/crates/http/src/server/stop.rs
+++ b/crates/http/src/server/stop.rs
@@ -3,7 +3,7 @@
 
 use async_channel::{Receiver, Sender, bounded};
 
-/// Tells every connection to end once its exchange is over.
+/// Signals every connection to close once its exchange is complete.
 #[derive(Clone, Debug)]
 pub struct StopSignal {
     sender: Rc<RefCell<Option<Sender<()>>>>,
@@ -18,14 +18,14 @@
 }
 
 impl StopSignal {
-    /// Gives the signal; again does nothing.
+    /// Sends the signal. Further calls have no effect.
     pub fn stop(&self) {
         self.sender.borrow_mut().take();
     }
 
-    /// Ends when the signal is given.
+    /// Waits for the signal.
     pub async fn stopped(&self) {
-        // Nothing is ever sent: the end of the channel is the signal.
+        // No message is ever sent; closing the channel is the signal.
         self.stopped.recv().await.unwrap_or_default();
     }
 }
--- a/crates/http/src/socket/options.rs
+++ b/crates/http/src/socket/options.rs
@@ -4,21 +4,20 @@
 
 use socket2::{SockRef, TcpKeepalive};
 
-/// Ends a connection whose peer has not acknowledged anything for this long.
+/// Sets the options that close a connection whose peer is unreachable, and `TCP_NODELAY`.
 ///
-/// Guards against a peer that lost its power or a path that went silent: without it the kernel
-/// sends again for minutes, and whoever waits on the socket waits as long. Unacknowledged bytes
-/// end by the user timeout, an idle wait for an answer by keep-alive probes.
+/// Without them the kernel retransmits for minutes. The user timeout covers unacknowledged bytes;
+/// keep-alive probes cover a connection that waits for an answer.
 ///
 /// # Errors
 ///
-/// An option that the kernel refuses.
+/// Returns an error if the kernel rejects an option.
 pub fn set_silence_timeout(stream: &TcpStream, silence: Duration) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(silence))?;
-    let second = Duration::from_secs(1);
+    let interval = Duration::from_secs(1);
     socket.set_tcp_keepalive(
-        &TcpKeepalive::new().with_time(second).with_interval(second).with_retries(2),
+        &TcpKeepalive::new().with_time(interval).with_interval(interval).with_retries(2),
     )
 }
--- a/crates/http/src/socket/smol_io.rs
+++ b/crates/http/src/socket/smol_io.rs
@@ -7,10 +7,10 @@
 use futures_lite::io::{AsyncRead, AsyncWrite};
 use hyper::rt::{Read, ReadBufCursor, Write};
 
-/// Bytes taken from the socket at once; an event of a stream and most bodies fit.
-const CHUNK_BYTES: usize = 8 * 1024;
+/// Maximum number of bytes per read from the socket.
+const READ_BYTES_MAX: usize = 8 * 1024;
 
-/// A TCP socket as `hyper` wants it.
+/// Adapts a TCP socket of smol to `hyper`.
 #[derive(Debug)]
 pub struct SmolIo {
     stream: Async<TcpStream>,
@@ -29,9 +29,9 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut chunk = [0; CHUNK_BYTES];
-        let room = buf.remaining().min(CHUNK_BYTES);
-        let read = ready!(Pin::new(&mut self.stream).poll_read(cx, &mut chunk[..room]))?;
+        let mut chunk = [0; READ_BYTES_MAX];
+        let capacity = buf.remaining().min(READ_BYTES_MAX);
+        let read = ready!(Pin::new(&mut self.stream).poll_read(cx, &mut chunk[..capacity]))?;
         buf.put_slice(&chunk[..read]);
         Poll::Ready(Ok(()))
     }
--- a/crates/http/src/socket/smol_timer.rs
+++ b/crates/http/src/socket/smol_timer.rs
@@ -5,7 +5,7 @@
 
 use hyper::rt::{Sleep, Timer};
 
-/// Timers of smol for `hyper`.
+/// Provides the timers of smol to `hyper`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SmolTimer;
 
--- a/crates/http/tests/events.rs
+++ b/crates/http/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams cut at any place come out whole and in order.
+//! Splitting of event streams into complete events.
 
 use celeryhaven_http::EventSplitter;
 use quickcheck::{Arbitrary, Gen};
@@ -15,11 +15,11 @@
             .collect();
         let text = events.concat();
         let mut splitter = EventSplitter::new(None);
-        let (mut out, mut place) = (Vec::new(), 0);
-        while place < text.len() {
-            let end = (place + 1 + usize::arbitrary(&mut random) % 17).min(text.len());
-            out.extend(splitter.push(&text.as_bytes()[place..end]).unwrap_or_default());
-            place = end;
+        let (mut out, mut start) = (Vec::new(), 0);
+        while start < text.len() {
+            let end = (start + 1 + usize::arbitrary(&mut random) % 17).min(text.len());
+            out.extend(splitter.push(&text.as_bytes()[start..end]).unwrap_or_default());
+            start = end;
         }
         assert_eq!(out, text.as_bytes(), "seed {seed}");
         assert_eq!(splitter.events() as usize, events.len(), "seed {seed}");
@@ -27,13 +27,12 @@
     }
 }
 
-/// A target dies in the middle of an event. What the caller got of it must end with the event
-/// before, since the next run begins with the one that was cut.
+/// A partial event must not be forwarded, because the target that resumes the stream sends it again.
 #[test]
 fn splitter_cut_in_event() {
     let mut splitter = EventSplitter::new(Some("3".into()));
-    let whole = splitter.push(b"id: 4\ndata: x\n\nid: 5\nda").unwrap();
-    assert_eq!(whole, "id: 4\ndata: x\n\n");
+    let complete = splitter.push(b"id: 4\ndata: x\n\nid: 5\nda").unwrap();
+    assert_eq!(complete, "id: 4\ndata: x\n\n");
     assert!(splitter.is_inside_event());
     splitter.drop_pending();
     assert_eq!(splitter.last_id(), Some("4"));
