--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -3,7 +3,7 @@
 //! | module | what it holds |
 //! |---|---|
 //! | [`log`] | JSON logs, one line for each event, with fixed field names |
-//! | [`metrics`] | what each process measures, in the Prometheus text format |
+//! | [`metrics`] | metrics of each kind of process, in the Prometheus text format |
 
 pub mod log;
 pub mod metrics;
--- a/crates/telemetry/src/log/open.rs
+++ b/crates/telemetry/src/log/open.rs
@@ -5,17 +5,17 @@
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use slog_json::Json;
 
-/// Lines that wait for the writer.
+/// Capacity of the queue to the log writer, in lines.
 ///
-/// Made for a burst of 8,200 requests a second on one node: half a second of one line each. A slow
-/// reader of the log costs lines, whose number is logged, and never a request's time.
-const WAITING_LINES: usize = 4_096;
+/// When a slow log reader fills the queue, lines are dropped and counted instead of delaying
+/// requests.
+const QUEUE_LINES_MAX: usize = 4_096;
 
-/// Writes out the waiting lines when it is dropped.
-#[must_use = "lines that wait are lost without it"]
+/// Flushes the queued log lines when it is dropped.
+#[must_use = "queued lines are lost when the guard is dropped early"]
 pub struct LogGuard(#[allow(dead_code, reason = "held for its drop")] AsyncGuard);
 
-/// Opens the log of a process, written by a thread of its own.
+/// Opens the log of a process, which a separate thread writes.
 ///
 /// ```
 /// use celeryhaven_settings::LogLevel;
@@ -31,7 +31,7 @@
 ) -> (Logger, LogGuard) {
     let json = Json::new(out).set_newlines(true).set_flush(true).add_default_keys().build();
     let (queue, guard) = Async::new(json.ignore_res())
-        .chan_size(WAITING_LINES)
+        .chan_size(QUEUE_LINES_MAX)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
     let drain = LevelFilter::new(queue, slog_level(level)).ignore_res();
--- a/crates/telemetry/src/log/record.rs
+++ b/crates/telemetry/src/log/record.rs
@@ -3,27 +3,27 @@
 use slog::{Logger, info};
 
 state! {
-    /// The end of one request, as logged.
+    /// Log record of a completed request.
     pub struct RequestRecord {
-        /// Which request.
+        /// The request.
         pub request_id: RequestId,
-        /// Whose; `None` if the caller was not known.
+        /// The organisation; `None` if the caller was not identified.
         pub organisation: Option<OrganisationName>,
-        /// The replica that answered, if one did.
+        /// The replica that answered.
         pub replica: Option<ReplicaName>,
-        /// What the caller was told.
+        /// The verdict sent to the caller.
         pub verdict: Verdict,
-        /// The refusal's code, if it was refused.
+        /// The refusal's code, if the request was refused.
         pub code: Option<String>,
-        /// From arrival to the end, in milliseconds.
+        /// Time from arrival to completion, in milliseconds.
         pub took_ms: u64,
-        /// Tokens or bytes delivered.
+        /// Number of tokens or bytes delivered.
         pub delivered: u64,
     }
 }
 
 impl RequestRecord {
-    /// Writes it to the log.
+    /// Writes the record to the log.
     pub fn write(&self, log: &Logger) {
         info!(log, "request ended";
             "request_id" => self.request_id.as_str(),
--- a/crates/telemetry/src/metrics/controller.rs
+++ b/crates/telemetry/src/metrics/controller.rs
@@ -7,18 +7,18 @@
 
 use crate::metrics::{DeploymentLabel, OutcomeLabel, ProcessMetrics};
 
-/// What a controller process measures.
+/// Metrics of a controller process.
 #[derive(Clone, Debug)]
 pub struct ControllerMetrics {
-    /// What every process measures.
+    /// Metrics of every process.
     pub process: ProcessMetrics,
-    /// Time that wanted replicas were not serving whole, by deployment.
+    /// Time that wanted replicas were not whole and serving, by deployment.
     pub group_downtime: Family<DeploymentLabel, Counter<f64, AtomicU64>>,
-    /// Accelerators held without useful serving, by deployment.
+    /// Accelerators that are held but do not serve, by deployment.
     pub stranded_accelerators: Family<DeploymentLabel, Gauge>,
-    /// Replicas that serve whole, by deployment.
+    /// Replicas that are whole and serving, by deployment.
     pub whole_replicas: Family<DeploymentLabel, Gauge>,
-    /// Leases held now.
+    /// Leases held by this controller.
     pub leases_held: Gauge,
     /// Orders sent to members, by kind and outcome.
     pub orders: Family<OutcomeLabel, Counter>,
@@ -32,7 +32,7 @@
         let whole_replicas = Family::default();
         let leases_held = Gauge::default();
         let orders = Family::default();
-        let process = ProcessMetrics::with_registered(|registry| {
+        let process = ProcessMetrics::new(|registry| {
             registry.register_with_unit(
                 "group_downtime",
                 "Time that wanted replicas were not serving whole",
--- a/crates/telemetry/src/metrics/entry.rs
+++ b/crates/telemetry/src/metrics/entry.rs
@@ -6,35 +6,35 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Unit;
 
-use crate::metrics::buckets::seconds;
+use crate::metrics::buckets::latency_histogram;
 use crate::metrics::{ProcessMetrics, RequestLabels};
 
-/// What an entry process measures.
+/// Metrics of an entry process.
 #[derive(Clone, Debug)]
 pub struct EntryMetrics {
-    /// What every process measures.
+    /// Metrics of every process.
     pub process: ProcessMetrics,
-    /// Requests that ended, by verdict.
+    /// Completed requests, by verdict.
     pub requests: Family<RequestLabels, Counter>,
-    /// From arrival to the first attempt.
+    /// Time from arrival to the first attempt.
     pub queue_time: Histogram,
-    /// From arrival to the first token or byte for the caller.
+    /// Time from arrival to the first token or byte for the caller.
     pub first_token: Histogram,
-    /// From arrival to the end of the answer.
+    /// Time from arrival to the end of the answer.
     pub answer_time: Histogram,
-    /// Requests that are here now.
+    /// Active requests.
     pub in_flight: Gauge,
-    /// Attempts that followed an earlier one of the same request.
+    /// Attempts after the first of a request.
     pub retries: Counter,
-    /// Requests passed on to the entry that issued their key.
+    /// Requests delegated to the entry that issued their key.
     pub passed_on: Counter,
-    /// Targets that may take requests.
+    /// Targets that may receive requests.
     pub targets_up: Gauge,
-    /// Replicas that a placement names.
+    /// Replicas in the placements.
     pub replicas: Gauge,
-    /// Those of them that this node sees whole.
+    /// Replicas in the placements that are whole as seen from this node.
     pub replicas_whole: Gauge,
-    /// Time that replicas of a placement were not whole, summed over replicas, as seen here.
+    /// Time that replicas were not whole as seen from this node, summed over replicas.
     pub group_downtime: Counter<f64, AtomicU64>,
 }
 
@@ -48,19 +48,20 @@
     /// ```
     pub fn new() -> Self {
         let requests = Family::default();
-        let (queue_time, first_token, answer_time) = (seconds(), seconds(), seconds());
+        let (queue_time, first_token, answer_time) =
+            (latency_histogram(), latency_histogram(), latency_histogram());
         let in_flight = Gauge::default();
         let (retries, passed_on) = (Counter::default(), Counter::default());
         let (targets_up, replicas, replicas_whole) =
             (Gauge::default(), Gauge::default(), Gauge::default());
         let group_downtime = Counter::<f64, AtomicU64>::default();
-        let process = ProcessMetrics::with_registered(|registry| {
-            let mut timed = |name: &str, help: &str, histogram: &Histogram| {
+        let process = ProcessMetrics::new(|registry| {
+            let mut register_time = |name: &str, help: &str, histogram: &Histogram| {
                 registry.register_with_unit(name, help, Unit::Seconds, histogram.clone());
             };
-            timed("queue_time", "From arrival to the first attempt", &queue_time);
-            timed("first_token", "From arrival to the caller's first token", &first_token);
-            timed("answer_time", "From arrival to the end of the answer", &answer_time);
+            register_time("queue_time", "From arrival to the first attempt", &queue_time);
+            register_time("first_token", "From arrival to the caller's first token", &first_token);
+            register_time("answer_time", "From arrival to the end of the answer", &answer_time);
             registry.register("requests", "Requests that ended, by verdict", requests.clone());
             registry.register_with_unit(
                 "group_downtime",
--- a/crates/telemetry/src/metrics/gateway.rs
+++ b/crates/telemetry/src/metrics/gateway.rs
@@ -4,23 +4,23 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Unit;
 
-use crate::metrics::buckets::seconds;
+use crate::metrics::buckets::latency_histogram;
 use crate::metrics::{OutcomeLabel, ProcessMetrics, StoreCallLabel};
 
-/// What a gateway process measures.
+/// Metrics of a gateway process.
 #[derive(Clone, Debug)]
 pub struct GatewayMetrics {
-    /// What every process measures.
+    /// Metrics of every process.
     pub process: ProcessMetrics,
-    /// Requests that ended, by outcome.
+    /// Completed requests, by outcome.
     pub requests: Family<OutcomeLabel, Counter>,
-    /// From arrival to the end of the request.
+    /// Time from arrival to completion of a request.
     pub request_time: Histogram,
-    /// Requests that wait for a target.
+    /// Requests waiting for a target.
     pub queued: Gauge,
-    /// Replicas that this node sees whole.
+    /// Replicas that are whole as seen from this node.
     pub replicas_whole: Gauge,
-    /// Fabric domains that this node decides for.
+    /// Fabric domains whose coordinator this node is.
     pub domains: Gauge,
     /// Orders to targets, by kind and outcome.
     pub orders: Family<OutcomeLabel, Counter>,
@@ -39,10 +39,10 @@
     pub fn new() -> Self {
         let (requests, orders) = (Family::default(), Family::default());
         let store_calls: Family<StoreCallLabel, Counter> = Family::default();
-        let request_time = seconds();
+        let request_time = latency_histogram();
         let (queued, replicas_whole, domains) =
             (Gauge::default(), Gauge::default(), Gauge::default());
-        let process = ProcessMetrics::with_registered(|registry| {
+        let process = ProcessMetrics::new(|registry| {
             registry.register("requests", "Requests that ended, by outcome", requests.clone());
             registry.register_with_unit(
                 "request_time",
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Counts the end of a request.
+    /// Records a completed request.
     pub fn ended(&self, outcome: &'static str, took_ms: u64) {
         let label = OutcomeLabel { call: "request", outcome };
         self.requests.get_or_create(&label).inc();
--- a/crates/telemetry/src/metrics/labels.rs
+++ b/crates/telemetry/src/metrics/labels.rs
@@ -1,36 +1,36 @@
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// Labels of an ended request.
+/// Labels of a completed request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// The organisation, or empty if the caller was not known.
+    /// The organisation, or empty if the caller was not identified.
     pub organisation: String,
-    /// The verdict the caller was told.
+    /// The verdict sent to the caller.
     pub verdict: &'static str,
-    /// The refusal's code, or empty.
+    /// The refusal's code, or empty if the request was not refused.
     pub code: String,
 }
 
-/// Labels of a figure of one deployment.
+/// Label of a metric per deployment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DeploymentLabel {
     /// The deployment.
     pub deployment: String,
 }
 
-/// Labels of bytes on the wire.
+/// Label of network traffic by direction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DirectionLabel {
     /// `sent` or `received`.
     pub direction: &'static str,
 }
 
-/// Labels of calls to others.
+/// Labels of a call and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabel {
-    /// What was called.
+    /// The call.
     pub call: &'static str,
-    /// How it ended.
+    /// The outcome.
     pub outcome: &'static str,
 }
 
--- a/crates/telemetry/src/metrics/mod.rs
+++ b/crates/telemetry/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! What each process measures.
+//! Metrics of each kind of process.
 
 mod buckets;
 mod controller;
--- a/crates/telemetry/src/metrics/process.rs
+++ b/crates/telemetry/src/metrics/process.rs
@@ -9,36 +9,36 @@
 
 use crate::metrics::{DirectionLabel, OutcomeLabel};
 
-type Seconds = Counter<f64, AtomicU64>;
+type SecondsCounter = Counter<f64, AtomicU64>;
 
-/// What every process measures, and the registry of all its metrics.
+/// Metrics of every process, and the registry of all metrics of the process.
 #[derive(Clone, Debug)]
 pub struct ProcessMetrics {
     registry: Arc<Registry>,
-    /// Bytes of control traffic between processes and with the Object API.
+    /// Bytes of control traffic with other processes and with the Object API.
     pub control_bytes: Family<DirectionLabel, Counter>,
     /// CPU time of the control thread.
-    pub control_cpu: Seconds,
-    /// Events the control thread has handled.
+    pub control_cpu: SecondsCounter,
+    /// Events handled by the control thread.
     pub control_events: Counter,
-    /// Ticks that the control thread began more than 20 ms late.
+    /// Ticks that the control thread started more than 20 ms late.
     pub control_ticks_late: Counter,
-    /// Ticks that the control thread began.
+    /// Ticks that the control thread started.
     pub control_ticks: Counter,
     /// Calls to the Object API and polls of members, by outcome.
     pub calls: Family<OutcomeLabel, Counter>,
-    /// Number of the configuration in force, 0 while there is none.
+    /// Number of the configuration in force, or 0 if there is none.
     pub config_number: Gauge,
 }
 
 impl ProcessMetrics {
-    /// Registers the metrics of every process, and those that `more` adds.
-    pub(crate) fn with_registered(more: impl FnOnce(&mut Registry)) -> Self {
+    /// Registers the metrics of every process and those that `register_others` adds.
+    pub(crate) fn new(register_others: impl FnOnce(&mut Registry)) -> Self {
         let mut registry = Registry::with_prefix("celeryhaven");
         let mut metrics = Self {
             registry: Arc::default(),
             control_bytes: Family::default(),
-            control_cpu: Seconds::default(),
+            control_cpu: SecondsCounter::default(),
             control_events: Counter::default(),
             control_ticks_late: Counter::default(),
             control_ticks: Counter::default(),
@@ -46,12 +46,12 @@
             config_number: Gauge::default(),
         };
         metrics.register(&mut registry);
-        more(&mut registry);
+        register_others(&mut registry);
         metrics.registry = Arc::new(registry);
         metrics
     }
 
-    /// All metrics of the process in the text format.
+    /// Encodes all metrics of the process in the Prometheus text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/telemetry/tests/log.rs
+++ b/crates/telemetry/tests/log.rs
@@ -1,4 +1,4 @@
-//! What stands in the log.
+//! Fields and levels of the log.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -10,9 +10,9 @@
 use celeryhaven_types::{OrganisationName, RequestId, Verdict};
 
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Memory {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -37,11 +37,11 @@
 
 #[test]
 fn log_request_fields() {
-    let memory = Memory::default();
-    let (log, guard) = open_log(memory.clone(), LogLevel::Info, "entry", "entry-1");
+    let buffer = SharedBuffer::default();
+    let (log, guard) = open_log(buffer.clone(), LogLevel::Info, "entry", "entry-1");
     record().write(&log);
     drop((log, guard));
-    let text = String::from_utf8(memory.0.lock().unwrap().clone()).unwrap();
+    let text = String::from_utf8(buffer.0.lock().unwrap().clone()).unwrap();
     assert_eq!(text.lines().count(), 1, "{text}");
     let fields = [
         r#""request_id":"r-1""#,
@@ -56,9 +56,9 @@
 
 #[test]
 fn log_level_filters() {
-    let memory = Memory::default();
-    let (log, guard) = open_log(memory.clone(), LogLevel::Error, "entry", "entry-1");
+    let buffer = SharedBuffer::default();
+    let (log, guard) = open_log(buffer.clone(), LogLevel::Error, "entry", "entry-1");
     record().write(&log);
     drop((log, guard));
-    assert!(memory.0.lock().unwrap().is_empty());
+    assert!(buffer.0.lock().unwrap().is_empty());
 }
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a scrape shows.
+//! Metrics and labels in the text format.
 
 use celeryhaven_telemetry::metrics::DeploymentLabel;
 use celeryhaven_telemetry::{ControllerMetrics, EntryMetrics, RequestLabels};
--- a/crates/telemetry/tests/metrics_page.rs
+++ b/crates/telemetry/tests/metrics_page.rs
@@ -1,4 +1,4 @@
-//! docs/METRICS.md names every metric, and no other.
+//! docs/METRICS.md lists exactly the metrics that the processes export.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -8,22 +8,22 @@
 };
 use celeryhaven_telemetry::{ControllerMetrics, EntryMetrics, GatewayMetrics};
 
-/// Names in the page's tables, without labels.
-fn on_the_page() -> BTreeSet<String> {
+/// Returns the names in the tables of the page, without labels.
+fn documented_names() -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/METRICS.md");
-    let page = std::fs::read_to_string(path).expect("the page");
+    let page = std::fs::read_to_string(path).expect("docs/METRICS.md is readable");
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `celeryhaven_"));
     rows.filter_map(|row| row.split(['`', '{']).next())
         .map(|name| name.trim_end_matches("_total").to_owned())
         .collect()
 }
 
-/// Names that the processes encode.
-fn in_the_code() -> BTreeSet<String> {
+/// Returns the names that the processes export.
+fn exported_names() -> BTreeSet<String> {
     let texts = [
-        touched_entry().process.encode(),
-        touched_controller().process.encode(),
-        touched_gateway().process.encode(),
+        populated_entry().process.encode(),
+        populated_controller().process.encode(),
+        populated_gateway().process.encode(),
     ];
     let types = texts.iter().flat_map(|text| text.lines()).filter_map(|line| {
         let name = line.strip_prefix("# TYPE celeryhaven_")?;
@@ -32,8 +32,8 @@
     types.collect()
 }
 
-/// An entry's metrics with a value for each family, since an empty one is not written.
-fn touched_entry() -> EntryMetrics {
+/// Returns metrics with a value for each family, since an empty family is not exported.
+fn populated_entry() -> EntryMetrics {
     let metrics = EntryMetrics::new();
     let labels =
         RequestLabels { organisation: String::new(), verdict: "not_run", code: String::new() };
@@ -43,7 +43,7 @@
     metrics
 }
 
-fn touched_controller() -> ControllerMetrics {
+fn populated_controller() -> ControllerMetrics {
     let metrics = ControllerMetrics::new();
     let label = DeploymentLabel { deployment: "drafting".into() };
     metrics.group_downtime.get_or_create(&label).inc_by(1.0);
@@ -53,7 +53,7 @@
     metrics
 }
 
-fn touched_gateway() -> GatewayMetrics {
+fn populated_gateway() -> GatewayMetrics {
     let metrics = GatewayMetrics::new();
     metrics.ended("answered", 1);
     metrics.orders.get_or_create(&outcome()).inc();
@@ -68,5 +68,5 @@
 
 #[test]
 fn metrics_page_agrees_with_the_code() {
-    assert_eq!(on_the_page(), in_the_code());
+    assert_eq!(documented_names(), exported_names());
 }
