--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,12 +1,12 @@
-//! Takes the logs of gateways apart: what was lost when, and why.
+//! Analyses gateway logs: request outcomes, losses, recovery and use of targets.
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`mod@line`] | one line of a log, and a whole log in the order of time |
-//! | [`requests`] | what became of requests, by span of time and by route |
-//! | [`mending`] | from the loss of a member to a replica that serves again |
-//! | [`targets`] | what every target was for, and the loads that ran at once |
-//! | [`mod@story`] | all that the logs say of one request and of the targets it met |
+//! | [`mod@line`] | log lines, and a log sorted by time |
+//! | [`requests`] | outcomes of requests, by time span and by route |
+//! | [`mending`] | time from the loss of a member until a replica serves again |
+//! | [`targets`] | states of targets over time, and concurrent model loads |
+//! | [`mod@story`] | all log lines about one request and its targets |
 
 pub mod line;
 pub mod mending;
--- a/crates/explain/src/line/log.rs
+++ b/crates/explain/src/line/log.rs
@@ -2,21 +2,21 @@
 
 use crate::LogLine;
 
-/// The lines of all nodes, in the order of time.
+/// The log lines of all nodes, sorted by time.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     /// The lines.
     pub lines: Vec<LogLine>,
-    /// Lines that no gateway wrote, or that cannot be read.
+    /// Number of lines that are not valid gateway log lines.
     pub unread: usize,
 }
 
 impl Log {
-    /// Reads every line of a source.
+    /// Reads all lines of a source.
     ///
     /// # Errors
     ///
-    /// The source cannot be read.
+    /// Returns an error if the source cannot be read.
     pub fn read(source: impl BufRead) -> io::Result<Self> {
         let mut log = Self::default();
         for text in source.lines() {
@@ -29,7 +29,7 @@
         Ok(log)
     }
 
-    /// When the first line was written, in milliseconds since 1970.
+    /// Returns the time of the first line, in Unix milliseconds.
     pub fn start_ms(&self) -> u64 {
         self.lines.first().map_or(0, |line| line.at_ms)
     }
--- a/crates/explain/src/line/log_line.rs
+++ b/crates/explain/src/line/log_line.rs
@@ -4,55 +4,55 @@
 use serde::Deserialize;
 
 state! {
-    /// One line that a gateway has written.
+    /// A log line of a gateway.
     pub struct LogLine {
-        /// When it was written, in milliseconds since 1970.
+        /// Time of the line, in Unix milliseconds.
         pub at_ms: u64,
-        /// The line as it was found, from its first brace on.
+        /// The text of the line from its first brace.
         pub text: String,
-        /// What it says.
+        /// The parsed fields.
         pub fields: Fields,
     }
 
-    /// The fields that explanations use; which of them a line has depends on its message.
+    /// The fields used by the analysis; which of them a line has depends on its message.
     #[derive(Default, Deserialize)]
     #[serde(default)]
     pub struct Fields {
-        /// When, as RFC 3339.
+        /// Time of the line, as RFC 3339.
         pub ts: String,
-        /// What happened.
+        /// Message.
         pub msg: String,
-        /// The node that wrote it.
+        /// Name of the node that wrote the line.
         pub node: String,
-        /// The request.
+        /// Id of the request.
         pub request_id: Option<String>,
-        /// Its route.
+        /// Name of the request's route.
         pub route: Option<String>,
-        /// What became of a request or of an order.
+        /// Outcome of a request or of an order.
         pub outcome: Option<String>,
-        /// From a request's arrival to its end, in milliseconds.
+        /// Time from a request's arrival to its completion, in milliseconds.
         pub took_ms: Option<u64>,
-        /// A target.
+        /// Name of the target.
         pub target: Option<String>,
-        /// A fabric domain.
+        /// Name of the fabric domain.
         pub domain: Option<String>,
-        /// A replica.
+        /// Name of the replica.
         pub replica: Option<String>,
-        /// What happened to a replica.
+        /// State change of a replica.
         pub change: Option<String>,
-        /// Which order.
+        /// Kind of order.
         pub order: Option<String>,
-        /// A model.
+        /// Name of the model.
         pub model: Option<String>,
-        /// What a probe showed.
+        /// Result of a probe.
         pub reachability: Option<String>,
     }
 }
 
 impl LogLine {
-    /// Reads a line; what stands before its first brace, such as a collector's own time, is left out.
+    /// Parses a line. Text before its first brace, such as a log collector's prefix, is ignored.
     ///
-    /// `None` if it is not a line of a gateway.
+    /// Returns `None` if the line is not a gateway log line.
     ///
     /// ```
     /// use celeryhaven_explain::LogLine;
--- a/crates/explain/src/line/mod.rs
+++ b/crates/explain/src/line/mod.rs
@@ -1,4 +1,4 @@
-//! One line of a log, and a whole log.
+//! Log lines, and a log sorted by time.
 
 mod log;
 mod log_line;
--- a/crates/explain/src/main.rs
+++ b/crates/explain/src/main.rs
@@ -1,4 +1,4 @@
-//! Prints what gateways' logs say of a time, or of one request.
+//! Prints a summary of gateway logs, or all lines about one request.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -9,25 +9,25 @@
 use pico_args::Arguments;
 use snafu::{ResultExt, Snafu};
 
-/// Shown for `--help` and after a mistake on the command line.
+/// Printed for `--help`.
 const USAGE: &str = "\
 usage: celeryhaven-explain [--request ID] [--span-s N] [--load-ms N] [FILE]...
 
-Reads logs of gateways, one JSON line each, from files or from standard input; what stands before the
-first brace of a line is left out. Prints what became of requests, how fast losses were mended and what
-targets were for.
+Reads gateway logs, one JSON object per line, from files or from standard input; text before the first
+brace of a line is ignored. Prints the outcomes of requests, the recovery times after losses and the
+states of targets.
 
-  --request  prints only the lines about this request and about the targets that it met
-  --span-s   seconds of a row; default 10
-  --load-ms  time that a load from the weights store takes; default 16000
+  --request  print only the lines about this request and its targets
+  --span-s   seconds per row; default 10
+  --load-ms  time to load a model from the weights store, in milliseconds; default 16000
 
-Exit status: 0, 1 if a log cannot be read, or 2 on a mistake.";
+Exit status: 0 on success, 1 if a log cannot be read, 2 on invalid arguments.";
 
 #[derive(Debug, Snafu)]
 enum ExplainError {
     #[snafu(display("{source}; see --help"))]
     Option { source: pico_args::Error },
-    #[snafu(display("{file}: {source}; name a file that can be read"))]
+    #[snafu(display("cannot read {file}: {source}; check that the file exists and is readable"))]
     Read { file: String, source: io::Error },
 }
 
@@ -75,7 +75,7 @@
     println!("{}", Mending::new(&log));
     print!("{}", TargetTable::new(&log, options.span_s, options.load_ms));
     if log.unread > 0 {
-        eprintln!("{} lines were not of a gateway", log.unread);
+        eprintln!("skipped {} lines that are not gateway log lines", log.unread);
     }
     Ok(())
 }
@@ -88,9 +88,9 @@
     for path in files {
         let file = path.to_string_lossy().into_owned();
         let opened = File::open(path).and_then(|source| Log::read(BufReader::new(source)));
-        let one = opened.context(ReadSnafu { file })?;
-        log.lines.extend(one.lines);
-        log.unread += one.unread;
+        let file_log = opened.context(ReadSnafu { file })?;
+        log.lines.extend(file_log.lines);
+        log.unread += file_log.unread;
     }
     log.lines.sort_by_key(|line| line.at_ms);
     Ok(log)
--- a/crates/explain/src/mending/mod.rs
+++ b/crates/explain/src/mending/mod.rs
@@ -1,4 +1,4 @@
-//! From the loss of a member to a replica that serves again.
+//! Time from the loss of a member until a replica serves again.
 
 mod mending_report;
 
--- a/crates/explain/src/requests/mod.rs
+++ b/crates/explain/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! What became of requests.
+//! Outcomes of requests.
 
 mod request_table;
 
--- a/crates/explain/src/requests/request_table.rs
+++ b/crates/explain/src/requests/request_table.rs
@@ -7,41 +7,41 @@
 use crate::Log;
 
 state! {
-    /// What became of the requests of one span or route.
+    /// Outcomes of the requests of one time span or route.
     #[derive(Default)]
     pub struct RequestRow {
-        /// Requests by what became of them.
+        /// Number of requests, by outcome.
         pub outcomes: BTreeMap<String, u64>,
-        /// How long each answered one took, in milliseconds.
+        /// Duration of each answered request, in milliseconds.
         pub took_ms: Vec<u64>,
     }
 }
 
 impl RequestRow {
-    /// The time within which this part of the answered requests ended, in milliseconds.
-    pub fn quantile_ms(&self, part: f64) -> u64 {
+    /// Returns a quantile of the durations of answered requests, in milliseconds.
+    pub fn quantile_ms(&self, quantile: f64) -> u64 {
         let mut histogram = Histogram::<u64>::new(3).unwrap_or_else(|_| unreachable_histogram());
         self.took_ms.iter().for_each(|&took| histogram.saturating_record(took));
-        histogram.value_at_quantile(part)
+        histogram.value_at_quantile(quantile)
     }
 }
 
-/// Three digits are within what a histogram can keep.
+/// Stands for an error that cannot occur, because histograms support three significant digits.
 fn unreachable_histogram() -> Histogram<u64> {
     unreachable!("a histogram of three digits")
 }
 
-/// What became of requests, by span of time and by route.
+/// Outcomes of requests, by time span and by route.
 #[derive(Clone, Debug, Default)]
 pub struct RequestTable {
-    /// By the seconds after the first line at which a span begins.
+    /// Rows by the start of the span, in seconds after the first line.
     pub by_span: BTreeMap<u64, RequestRow>,
-    /// By route.
+    /// Rows by route.
     pub by_route: BTreeMap<String, RequestRow>,
 }
 
 impl RequestTable {
-    /// Counts the ends of requests in spans of so many seconds.
+    /// Counts completed requests in spans of `span_s` seconds.
     pub fn new(log: &Log, span_s: u64) -> Self {
         let mut table = Self::default();
         let start_ms = log.start_ms();
--- a/crates/explain/src/story/mod.rs
+++ b/crates/explain/src/story/mod.rs
@@ -1,4 +1,4 @@
-//! All that the logs say of one request.
+//! All log lines about one request.
 
 mod request_story;
 
--- a/crates/explain/src/targets/mod.rs
+++ b/crates/explain/src/targets/mod.rs
@@ -1,4 +1,4 @@
-//! What every target was for.
+//! States of targets over time.
 
 mod target_table;
 
--- a/crates/explain/src/targets/target_table.rs
+++ b/crates/explain/src/targets/target_table.rs
@@ -6,89 +6,88 @@
 use crate::{Log, LogLine};
 
 state! {
-    /// Targets at one moment, by what they were for.
+    /// Number of targets at one time, by state.
     #[derive(Default)]
     pub struct TargetRow {
         /// Members of replicas that serve, by model.
         pub serving: BTreeMap<String, usize>,
-        /// Members of replicas that are being formed or taken apart.
+        /// Members of replicas that are being formed or dissolved.
         pub between: usize,
-        /// Free targets that load a model.
+        /// Free targets that are loading a model.
         pub loading: usize,
-        /// Free targets that have a model.
+        /// Free targets with a staged model.
         pub staged: usize,
-        /// Targets that answered no probe since.
+        /// Targets that did not answer their last probe.
         pub silent: usize,
     }
 }
 
-/// What targets were for, at the end of each span.
+/// States of targets at the end of each time span.
 ///
-/// It follows from orders that were accepted, so a target that was never told anything, or that left
-/// by itself, does not show.
+/// They are derived from accepted orders, so targets without orders are missing and targets that
+/// left by themselves are still counted.
 #[derive(Clone, Debug, Default)]
 pub struct TargetTable {
-    /// By the seconds after the first line.
+    /// Rows by time, in seconds after the first line.
     pub rows: BTreeMap<u64, TargetRow>,
-    /// The most loads that ran at once.
+    /// Maximum number of concurrent loads.
     pub loads_at_once_max: usize,
 }
 
-/// What is known of one target.
 #[derive(Clone, Debug, Default)]
-struct Target {
+struct TargetState {
     replica: Option<String>,
     load_until_ms: Option<u64>,
     has_model: bool,
     silent: bool,
 }
 
-/// What is known of one replica.
 #[derive(Clone, Debug, Default)]
-struct Replica {
+struct ReplicaState {
     model: String,
     open: bool,
 }
 
+/// State of all targets and replicas up to the last applied line.
 #[derive(Clone, Debug, Default)]
-struct Follow {
-    targets: BTreeMap<String, Target>,
-    replicas: BTreeMap<String, Replica>,
+struct FleetState {
+    targets: BTreeMap<String, TargetState>,
+    replicas: BTreeMap<String, ReplicaState>,
     load_ms: u64,
 }
 
 impl TargetTable {
-    /// Follows the orders of a log in spans of so many seconds, with loads that take so long.
+    /// Builds the table in spans of `span_s` seconds, assuming that a load takes `load_ms`.
     pub fn new(log: &Log, span_s: u64, load_ms: u64) -> Self {
         let mut table = Self::default();
-        let mut follow = Follow { load_ms, ..Follow::default() };
+        let mut fleet = FleetState { load_ms, ..FleetState::default() };
         let mut next_s = span_s.max(1);
         for line in &log.lines {
             let at_ms = line.at_ms - log.start_ms();
             while at_ms >= next_s * 1_000 {
-                table.rows.insert(next_s, follow.row(next_s * 1_000));
+                table.rows.insert(next_s, fleet.row(next_s * 1_000));
                 next_s += span_s.max(1);
             }
-            follow.take(line, at_ms);
-            let loading = follow.targets.values().filter(|target| target.is_loading(at_ms));
+            fleet.apply_line(line, at_ms);
+            let loading = fleet.targets.values().filter(|target| target.is_loading(at_ms));
             table.loads_at_once_max = table.loads_at_once_max.max(loading.count());
         }
         table
     }
 }
 
-impl Target {
+impl TargetState {
     fn is_loading(&self, now_ms: u64) -> bool {
         !self.silent && self.load_until_ms.is_some_and(|until_ms| until_ms > now_ms)
     }
 }
 
-impl Follow {
-    fn take(&mut self, line: &LogLine, at_ms: u64) {
+impl FleetState {
+    fn apply_line(&mut self, line: &LogLine, at_ms: u64) {
         let fields = &line.fields;
         match (fields.msg.as_str(), &fields.target, &fields.replica) {
             ("order", Some(target), _) if fields.outcome.as_deref() == Some("accepted") => {
-                self.ordered(line, target, at_ms);
+                self.apply_order(line, target, at_ms);
             }
             ("probe", Some(target), _) => {
                 let answers = fields.reachability.as_deref() == Some("Answers");
@@ -106,23 +105,23 @@
         }
     }
 
-    fn ordered(&mut self, line: &LogLine, target: &str, at_ms: u64) {
+    fn apply_order(&mut self, line: &LogLine, target: &str, at_ms: u64) {
         let fields = &line.fields;
         let load_ms = self.load_ms;
-        let entry = self.targets.entry(target.to_owned()).or_default();
-        entry.silent = false;
+        let state = self.targets.entry(target.to_owned()).or_default();
+        state.silent = false;
         match fields.order.as_deref() {
             Some("join") => {
-                entry.replica.clone_from(&fields.replica);
-                entry.has_model = true;
+                state.replica.clone_from(&fields.replica);
+                state.has_model = true;
                 if let (Some(replica), Some(model)) = (&fields.replica, &fields.model) {
                     self.replicas.entry(replica.clone()).or_default().model.clone_from(model);
                 }
             }
-            Some("leave") if entry.replica == fields.replica => entry.replica = None,
+            Some("leave") if state.replica == fields.replica => state.replica = None,
             Some("stage") => {
-                entry.load_until_ms = Some(at_ms + load_ms);
-                entry.has_model = true;
+                state.load_until_ms = Some(at_ms + load_ms);
+                state.has_model = true;
             }
             _ => {}
         }
@@ -155,10 +154,10 @@
             let (loading, staged, silent) = (row.loading, row.staged, row.silent);
             writeln!(
                 f,
-                "at {at_s:>5} s  serving {serving}; between replicas {between}; loading {loading}; \
+                "at {at_s:>5} s  serving {serving}; in transition {between}; loading {loading}; \
                  staged {staged}; silent {silent}"
             )?;
         }
-        writeln!(f, "at most {} loads at once", self.loads_at_once_max)
+        writeln!(f, "at most {} concurrent loads", self.loads_at_once_max)
     }
 }
--- a/crates/explain/tests/explain.rs
+++ b/crates/explain/tests/explain.rs
@@ -1,10 +1,10 @@
-//! What is told from the logs of a small loss.
+//! Analysis of a log with one loss of a member.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use celeryhaven_explain::{Log, Mending, RequestTable, TargetTable, story};
 
-/// One replica of two is formed, loses a member and is formed anew; two requests meet it.
+/// A replica of two members is formed, loses a member and is formed again, during two requests.
 const LINES: &[(&str, &str, &str)] = &[
     ("00.0", "a", r#""msg":"started""#),
     (
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn mending_loss_noticed_twice() {
+fn recovery_loss_logged_twice() {
     let mending = Mending::new(&log());
     assert_eq!(mending.mends.len(), 1);
     assert_eq!(mending.mends[0].planned_ms, Some(200));
@@ -108,17 +108,18 @@
 }
 
 #[test]
-fn story_leads_from_request_to_loss() {
+fn timeline_includes_loss_of_target() {
     let log = log();
-    let told = story(&log, "r-1");
-    let words: Vec<&str> = told.iter().map(|line| line.fields.msg.as_str()).collect();
-    assert!(words.contains(&"attempt broken") && words.contains(&"request ended"));
-    let changes: Vec<&str> = told.iter().filter_map(|line| line.fields.change.as_deref()).collect();
+    let lines = story(&log, "r-1");
+    let messages: Vec<&str> = lines.iter().map(|line| line.fields.msg.as_str()).collect();
+    assert!(messages.contains(&"attempt broken") && messages.contains(&"request ended"));
+    let changes: Vec<&str> =
+        lines.iter().filter_map(|line| line.fields.change.as_deref()).collect();
     assert!(changes.contains(&"member lost"), "{changes:?}");
-    assert!(told.iter().all(|line| line.fields.request_id.as_deref() != Some("r-2")));
+    assert!(lines.iter().all(|line| line.fields.request_id.as_deref() != Some("r-2")));
 }
 
 #[test]
-fn story_of_unknown_request() {
+fn timeline_unknown_request() {
     assert!(story(&log(), "r-9").is_empty());
 }
