--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -4,18 +4,18 @@
 //! |---|---|
 //! | [`mod@line`] | log lines, and a log sorted by time |
 //! | [`requests`] | outcomes of requests, by time span and by route |
-//! | [`mending`] | time from the loss of a member until a replica serves again |
+//! | [`recovery`] | time from the loss of a member until a replica serves again |
 //! | [`targets`] | states of targets over time, and concurrent model loads |
-//! | [`mod@story`] | all log lines about one request and its targets |
+//! | [`timeline`] | all log lines about one request and its targets |
 
 pub mod line;
-pub mod mending;
+pub mod recovery;
 pub mod requests;
-pub mod story;
 pub mod targets;
+pub mod timeline;
 
 pub use line::{Log, LogLine};
-pub use mending::Mending;
+pub use recovery::RecoveryReport;
 pub use requests::RequestTable;
-pub use story::story;
 pub use targets::TargetTable;
+pub use timeline::request_timeline;
--- a/crates/explain/src/line/log.rs
+++ b/crates/explain/src/line/log.rs
@@ -8,7 +8,7 @@
     /// The lines.
     pub lines: Vec<LogLine>,
     /// Number of lines that are not valid gateway log lines.
-    pub unread: usize,
+    pub skipped: usize,
 }
 
 impl Log {
@@ -22,7 +22,7 @@
         for text in source.lines() {
             match LogLine::parse(&text?) {
                 Some(line) => log.lines.push(line),
-                None => log.unread += 1,
+                None => log.skipped += 1,
             }
         }
         log.lines.sort_by_key(|line| line.at_ms);
--- a/crates/explain/src/main.rs
+++ b/crates/explain/src/main.rs
@@ -5,7 +5,7 @@
 use std::io::{self, BufReader};
 use std::process::ExitCode;
 
-use celeryhaven_explain::{Log, Mending, RequestTable, TargetTable, story};
+use celeryhaven_explain::{Log, RecoveryReport, RequestTable, TargetTable, request_timeline};
 use pico_args::Arguments;
 use snafu::{ResultExt, Snafu};
 
@@ -68,14 +68,14 @@
 fn explain(options: &Options) -> Result<(), ExplainError> {
     let log = read(&options.files)?;
     if let Some(request) = &options.request {
-        story(&log, request).iter().for_each(|line| println!("{}", line.text));
+        request_timeline(&log, request).iter().for_each(|line| println!("{}", line.text));
         return Ok(());
     }
     println!("{}", RequestTable::new(&log, options.span_s));
-    println!("{}", Mending::new(&log));
+    println!("{}", RecoveryReport::new(&log));
     print!("{}", TargetTable::new(&log, options.span_s, options.load_ms));
-    if log.unread > 0 {
-        eprintln!("skipped {} lines that are not gateway log lines", log.unread);
+    if log.skipped > 0 {
+        eprintln!("skipped {} lines that are not gateway log lines", log.skipped);
     }
     Ok(())
 }
@@ -90,7 +90,7 @@
         let opened = File::open(path).and_then(|source| Log::read(BufReader::new(source)));
         let file_log = opened.context(ReadSnafu { file })?;
         log.lines.extend(file_log.lines);
-        log.unread += file_log.unread;
+        log.skipped += file_log.skipped;
     }
     log.lines.sort_by_key(|line| line.at_ms);
     Ok(log)
--- a/crates/explain/src/story/mod.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! All log lines about one request.
-
-mod request_story;
-
-pub use request_story::story;
--- a/crates/explain/src/targets/target_table.rs
+++ b/crates/explain/src/targets/target_table.rs
@@ -12,7 +12,7 @@
         /// Members of replicas that serve, by model.
         pub serving: BTreeMap<String, usize>,
         /// Members of replicas that are being formed or dissolved.
-        pub between: usize,
+        pub in_transition: usize,
         /// Free targets that are loading a model.
         pub loading: usize,
         /// Free targets with a staged model.
@@ -31,7 +31,7 @@
     /// Rows by time, in seconds after the first line.
     pub rows: BTreeMap<u64, TargetRow>,
     /// Maximum number of concurrent loads.
-    pub loads_at_once_max: usize,
+    pub concurrent_loads_max: usize,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -70,7 +70,7 @@
             }
             fleet.apply_line(line, at_ms);
             let loading = fleet.targets.values().filter(|target| target.is_loading(at_ms));
-            table.loads_at_once_max = table.loads_at_once_max.max(loading.count());
+            table.concurrent_loads_max = table.concurrent_loads_max.max(loading.count());
         }
         table
     }
@@ -136,7 +136,7 @@
                 Some(replica) if replica.open => {
                     *row.serving.entry(replica.model.clone()).or_default() += 1;
                 }
-                Some(_) => row.between += 1,
+                Some(_) => row.in_transition += 1,
                 None if target.is_loading(now_ms) => row.loading += 1,
                 None => row.staged += usize::from(target.has_model),
             }
@@ -150,14 +150,14 @@
         for (at_s, row) in &self.rows {
             let serving: Vec<String> =
                 row.serving.iter().map(|(model, count)| format!("{count} of {model}")).collect();
-            let (serving, between) = (serving.join(", "), row.between);
+            let (serving, in_transition) = (serving.join(", "), row.in_transition);
             let (loading, staged, silent) = (row.loading, row.staged, row.silent);
             writeln!(
                 f,
-                "at {at_s:>5} s  serving {serving}; in transition {between}; loading {loading}; \
+                "at {at_s:>5} s  serving {serving}; in transition {in_transition}; loading {loading}; \
                  staged {staged}; silent {silent}"
             )?;
         }
-        writeln!(f, "at most {} concurrent loads", self.loads_at_once_max)
+        writeln!(f, "at most {} concurrent loads", self.concurrent_loads_max)
     }
 }
--- /dev/null
+++ b/crates/explain/src/timeline/mod.rs
@@ -0,0 +1,5 @@
+//! All log lines about one request.
+
+mod request_timeline;
+
+pub use request_timeline::request_timeline;
--- a/crates/explain/src/story/request_story.rs
+++ b/crates/explain/src/timeline/request_timeline.rs
@@ -11,7 +11,7 @@
 /// Returns the lines about a request and about its targets and replicas, in order of time.
 ///
 /// The replicas are those that any line up to the end names together with one of the targets.
-pub fn story<'a>(log: &'a Log, request_id: &str) -> Vec<&'a LogLine> {
+pub fn request_timeline<'a>(log: &'a Log, request_id: &str) -> Vec<&'a LogLine> {
     let is_own = |line: &&LogLine| line.fields.request_id.as_deref() == Some(request_id);
     let own: Vec<&LogLine> = log.lines.iter().filter(is_own).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else { return Vec::new() };
--- a/crates/explain/tests/explain.rs
+++ b/crates/explain/tests/explain.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
-use celeryhaven_explain::{Log, Mending, RequestTable, TargetTable, story};
+use celeryhaven_explain::{Log, RecoveryReport, RequestTable, TargetTable, request_timeline};
 
 /// A replica of two members is formed, loses a member and is formed again, during two requests.
 const LINES: &[(&str, &str, &str)] = &[
@@ -78,7 +78,7 @@
 #[test]
 fn log_skips_foreign_lines() {
     let log = log();
-    assert_eq!((log.lines.len(), log.unread), (LINES.len(), 1));
+    assert_eq!((log.lines.len(), log.skipped), (LINES.len(), 1));
 }
 
 #[test]
@@ -91,10 +91,10 @@
 
 #[test]
 fn recovery_loss_logged_twice() {
-    let mending = Mending::new(&log());
-    assert_eq!(mending.mends.len(), 1);
-    assert_eq!(mending.mends[0].planned_ms, Some(200));
-    assert_eq!(mending.quantile_ms(0.95), Some(2_000));
+    let report = RecoveryReport::new(&log());
+    assert_eq!(report.recoveries.len(), 1);
+    assert_eq!(report.recoveries[0].planned_ms, Some(200));
+    assert_eq!(report.quantile_ms(0.95), Some(2_000));
 }
 
 #[test]
@@ -103,14 +103,14 @@
     let row = &table.rows[&10];
     assert_eq!((row.serving["m"], row.staged, row.loading), (2, 1, 0));
     let row = &table.rows[&20];
-    assert_eq!((row.serving["m"], row.silent, row.between), (2, 1, 0));
-    assert_eq!(table.loads_at_once_max, 1);
+    assert_eq!((row.serving["m"], row.silent, row.in_transition), (2, 1, 0));
+    assert_eq!(table.concurrent_loads_max, 1);
 }
 
 #[test]
 fn timeline_includes_loss_of_target() {
     let log = log();
-    let lines = story(&log, "r-1");
+    let lines = request_timeline(&log, "r-1");
     let messages: Vec<&str> = lines.iter().map(|line| line.fields.msg.as_str()).collect();
     assert!(messages.contains(&"attempt broken") && messages.contains(&"request ended"));
     let changes: Vec<&str> =
@@ -121,5 +121,5 @@
 
 #[test]
 fn timeline_unknown_request() {
-    assert!(story(&log(), "r-9").is_empty());
+    assert!(request_timeline(&log(), "r-9").is_empty());
 }
