--- a/crates/gateway/src/adapter/adapter_trait.rs
+++ b/crates/gateway/src/adapter/adapter_trait.rs
@@ -1,5 +1,5 @@
 use celeryhaven_fleet::{Configuration, OrderOutcome, TargetEntry, TargetOrder};
-use celeryhaven_store::StoreWire;
+use celeryhaven_store::StoreCodec;
 use celeryhaven_types::VmName;
 use celeryhaven_types::store::ObjectKey;
 use http::{HeaderMap, StatusCode};
@@ -12,7 +12,7 @@
 ///
 /// It holds no state and decides nothing: each function turns what the platform wrote into typed
 /// values, or typed values into what the platform reads. No bytes from outside make it panic.
-pub trait Adapter: StoreWire + Clone + Send + Sync + 'static {
+pub trait Adapter: StoreCodec + Clone + Send + Sync + 'static {
     /// The object that holds the newest configuration.
     fn configuration_key(&self) -> ObjectKey;
 
--- a/crates/gateway/src/control/counted_store.rs
+++ b/crates/gateway/src/control/counted_store.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use celeryhaven_store::{StoreClient, StoreWire};
+use celeryhaven_store::{StoreClient, StoreCodec};
 use celeryhaven_telemetry::GatewayMetrics;
 use celeryhaven_telemetry::metrics::StoreCallLabel;
 use celeryhaven_types::store::{StoreReply, StoreRequest};
@@ -42,7 +42,7 @@
     unlogged: Rc<RefCell<BTreeMap<(&'static str, &'static str), u64>>>,
 }
 
-impl<W: StoreWire> CountedStore<W> {
+impl<W: StoreCodec> CountedStore<W> {
     /// Counts the calls of a client.
     pub(crate) fn new(client: StoreClient<W>, metrics: GatewayMetrics) -> Self {
         Self { client, metrics, unlogged: Rc::default() }
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -6,7 +6,7 @@
 use celeryhaven_clock::BootClock;
 use celeryhaven_fleet::{RelayAnswer, StoreContact};
 use celeryhaven_http::ChannelPool;
-use celeryhaven_store::StoreWire;
+use celeryhaven_store::StoreCodec;
 use celeryhaven_types::NodeName;
 use celeryhaven_types::store::{ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use rand::Rng;
@@ -117,7 +117,7 @@
     pub(crate) rng: SmallRng,
 }
 
-impl<W: StoreWire> Feed<W> {
+impl<W: StoreCodec> Feed<W> {
     /// Follows for ever.
     pub(crate) async fn follow(mut self) {
         self.ask_store().await;
--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use async_channel::Sender;
 use celeryhaven_peers::{NodeRecord, heartbeat_ms};
-use celeryhaven_store::StoreWire;
+use celeryhaven_store::StoreCodec;
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use smol::Timer;
 
@@ -93,7 +93,7 @@
     }
 }
 
-impl<W: StoreWire> Heartbeat<W> {
+impl<W: StoreCodec> Heartbeat<W> {
     /// Whether it is to be written again, among so many nodes.
     fn is_due(&self, nodes: u64) -> bool {
         let pause = match self.is_written {
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -100,7 +100,7 @@
     let control = move || {
         let executor = Rc::new(LocalExecutor::new());
         let timeout = Duration::from_millis(settings.store_timeout_ms);
-        let client = StoreClient::with_wire(settings.store, timeout, adapter.clone());
+        let client = StoreClient::with_codec(settings.store, timeout, adapter.clone());
         let channels = ChannelPool::new(executor.clone(), TARGET_CHANNELS);
         let targets = TargetCalls { adapter: adapter.clone(), channels };
         let parts = ControlParts {
--- a/crates/store/src/client/store_client.rs
+++ b/crates/store/src/client/store_client.rs
@@ -6,7 +6,7 @@
 use trillium_client::{Client, Conn, Status};
 
 use crate::client::reply::reply_for_error;
-use crate::wire::{Freshness, ObjectApiWire, StoreWire, WireCall, WireReply};
+use crate::codec::{DecodedReply, EncodedCall, Freshness, ObjectApiCodec, StoreCodec};
 
 /// Maximum length of a value in the store, in bytes.
 const VALUE_BYTES_MAX: usize = 1 << 20;
@@ -31,28 +31,28 @@
 /// # }
 /// ```
 #[derive(Clone, Debug)]
-pub struct StoreClient<W = ObjectApiWire> {
+pub struct StoreClient<W = ObjectApiCodec> {
     client: Client,
     address: SocketAddr,
     timeout: Duration,
-    wire: W,
+    codec: W,
 }
 
 impl StoreClient {
     /// Creates a client of the Object API. The timeout of a watch is extended by its wait.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
-        Self::with_wire(address, timeout, ObjectApiWire)
+        Self::with_codec(address, timeout, ObjectApiCodec)
     }
 }
 
-impl<W: StoreWire> StoreClient<W> {
-    /// Creates a client of a store with another wire format.
-    pub fn with_wire(address: SocketAddr, timeout: Duration, wire: W) -> Self {
+impl<W: StoreCodec> StoreClient<W> {
+    /// Creates a client that uses the given codec.
+    pub fn with_codec(address: SocketAddr, timeout: Duration, codec: W) -> Self {
         let config = trillium_smol::ClientConfig::new().with_nodelay(true);
         // The library sends longer bodies with `Expect: 100-continue` and then waits for a
         // response that the store need not send.
         let client = Client::new(config).with_max_buffered_request_body(VALUE_BYTES_MAX);
-        Self { client, address, timeout, wire }
+        Self { client, address, timeout, codec }
     }
 
     /// Executes a request.
@@ -87,33 +87,33 @@
         request: &StoreRequest,
         freshness: Freshness,
         page: Option<&str>,
-    ) -> WireReply {
-        let call = self.wire.call(request, freshness, page);
+    ) -> DecodedReply {
+        let call = self.codec.encode_call(request, freshness, page);
         if call.body.as_ref().is_some_and(|body| body.len() > VALUE_BYTES_MAX) {
-            return WireReply::whole(StoreReply::NotDone);
+            return DecodedReply::unpaged(StoreReply::NotDone);
         }
         let timed_out = async {
             Timer::after(self.timeout_of(request)).await;
-            WireReply::whole(StoreReply::Unknown)
+            DecodedReply::unpaged(StoreReply::Unknown)
         };
         smol::future::or(self.exchange(request, call), timed_out).await
     }
 
-    async fn exchange(&self, request: &StoreRequest, call: WireCall) -> WireReply {
+    async fn exchange(&self, request: &StoreRequest, call: EncodedCall) -> DecodedReply {
         let mut conn = match self.conn(call).await {
             Ok(conn) => conn,
-            Err(error) => return WireReply::whole(reply_for_error(&error)),
+            Err(error) => return DecodedReply::unpaged(reply_for_error(&error)),
         };
         let status = conn.status().unwrap_or(Status::InternalServerError);
         // JSON is UTF-8, but the library's text reader has another default encoding.
         let body = conn.response_body().read_bytes().await.ok();
         match body.and_then(|body| String::from_utf8(body).ok()) {
-            Some(body) => self.wire.reply(request, status as u16, &body),
-            None => WireReply::whole(StoreReply::Unknown),
+            Some(body) => self.codec.decode_reply(request, status as u16, &body),
+            None => DecodedReply::unpaged(StoreReply::Unknown),
         }
     }
 
-    fn conn(&self, call: WireCall) -> Conn {
+    fn conn(&self, call: EncodedCall) -> Conn {
         let url = format!("http://{}{}", self.address, call.target);
         let conn = self.client.build_conn(call.method, url);
         let conn = match call.precondition {
@@ -138,9 +138,9 @@
 
 /// Merges two pages of a list at the version of the first, so that a watch from there includes
 /// every later change.
-fn merge_pages(first: StoreReply, next: WireReply) -> Option<WireReply> {
+fn merge_pages(first: StoreReply, next: DecodedReply) -> Option<DecodedReply> {
     let StoreReply::Listed { version, mut objects } = first else { return None };
     let StoreReply::Listed { objects: more, .. } = next.reply else { return None };
     objects.extend(more);
-    Some(WireReply { reply: StoreReply::Listed { version, objects }, next_page: next.next_page })
+    Some(DecodedReply { reply: StoreReply::Listed { version, objects }, next_page: next.next_page })
 }
--- a/crates/store/src/wire/mod.rs
+++ b/crates/store/src/codec/mod.rs
@@ -3,7 +3,7 @@
 mod object_api;
 mod reply_body;
 mod request;
-mod store_wire;
+mod store_codec;
 
-pub use object_api::ObjectApiWire;
-pub use store_wire::{Freshness, StoreWire, WireCall, WireReply};
+pub use object_api::ObjectApiCodec;
+pub use store_codec::{DecodedReply, EncodedCall, Freshness, StoreCodec};
--- a/crates/store/src/wire/object_api.rs
+++ b/crates/store/src/codec/object_api.rs
@@ -1,16 +1,16 @@
 use celeryhaven_types::store::{StoreReply, StoreRequest};
 
-use crate::wire::reply_body::{parse_changes, parse_list, parse_object, parse_version};
-use crate::wire::request::{method, precondition, target, value};
-use crate::wire::{Freshness, StoreWire, WireCall, WireReply};
+use crate::codec::reply_body::{parse_changes, parse_list, parse_object, parse_version};
+use crate::codec::request::{method, precondition, target, value};
+use crate::codec::{DecodedReply, EncodedCall, Freshness, StoreCodec};
 
 /// Wire format of the Object API (docs/PROTOCOLS.md).
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ObjectApiWire;
+pub struct ObjectApiCodec;
 
-impl StoreWire for ObjectApiWire {
-    fn call(&self, request: &StoreRequest, _: Freshness, _: Option<&str>) -> WireCall {
-        WireCall {
+impl StoreCodec for ObjectApiCodec {
+    fn encode_call(&self, request: &StoreRequest, _: Freshness, _: Option<&str>) -> EncodedCall {
+        EncodedCall {
             method: method(request),
             target: target(request),
             precondition: precondition(request),
@@ -18,8 +18,8 @@
         }
     }
 
-    fn reply(&self, request: &StoreRequest, status: u16, body: &str) -> WireReply {
-        WireReply::whole(match status {
+    fn decode_reply(&self, request: &StoreRequest, status: u16, body: &str) -> DecodedReply {
+        DecodedReply::unpaged(match status {
             200 => decode_success(request, body).unwrap_or(StoreReply::Unknown),
             404 if request.is_write() => StoreReply::Conflict,
             404 => StoreReply::Missing,
--- a/crates/store/src/wire/store_wire.rs
+++ b/crates/store/src/codec/store_codec.rs
@@ -11,7 +11,7 @@
 
 /// An encoded call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WireCall {
+pub struct EncodedCall {
     /// HTTP method.
     pub method: &'static str,
     /// Path and query.
@@ -24,28 +24,33 @@
 
 /// A decoded reply, or one page of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WireReply {
+pub struct DecodedReply {
     /// The reply; for a list, the objects of this page.
     pub reply: StoreReply,
     /// Token of the next page of a list; `None` on the last page.
     pub next_page: Option<String>,
 }
 
-impl WireReply {
+impl DecodedReply {
     /// Returns a reply without further pages.
-    pub fn whole(reply: StoreReply) -> Self {
+    pub fn unpaged(reply: StoreReply) -> Self {
         Self { reply, next_page: None }
     }
 }
 
 /// Encodes calls to a store and decodes its replies. Implementations are stateless.
-pub trait StoreWire {
-    /// Encodes a call; `page` is the [`WireReply::next_page`] of the previous page of a list.
-    fn call(&self, request: &StoreRequest, freshness: Freshness, page: Option<&str>) -> WireCall;
+pub trait StoreCodec {
+    /// Encodes a call; `page` is the [`DecodedReply::next_page`] of the previous page of a list.
+    fn encode_call(
+        &self,
+        request: &StoreRequest,
+        freshness: Freshness,
+        page: Option<&str>,
+    ) -> EncodedCall;
 
     /// Decodes the reply to a call.
     ///
     /// Returns [`StoreReply::Unknown`] for a reply that cannot be decoded, because a write may have
     /// taken effect.
-    fn reply(&self, request: &StoreRequest, status: u16, body: &str) -> WireReply;
+    fn decode_reply(&self, request: &StoreRequest, status: u16, body: &str) -> DecodedReply;
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -7,13 +7,13 @@
 //! | module | what it holds |
 //! |---|---|
 //! | `client` | the client: connections, timeouts, paging |
-//! | [`wire`] | encoding of calls and decoding of replies |
+//! | [`codec`] | encoding of calls and decoding of replies |
 //!
 //! `examples/read_back.rs` reads an object back after the reply to a write was lost:
 //! `cargo run -p celeryhaven-store --example read_back`.
 
 mod client;
-pub mod wire;
+pub mod codec;
 
 pub use client::StoreClient;
-pub use wire::{Freshness, ObjectApiWire, StoreWire, WireCall, WireReply};
+pub use codec::{DecodedReply, EncodedCall, Freshness, ObjectApiCodec, StoreCodec};
