--- a/crates/entry/src/control/carrier.rs
+++ b/crates/entry/src/control/carrier.rs
@@ -79,7 +79,7 @@
 
     fn pass_on(&self, ticket: Ticket, to: Incarnation, address: SocketAddr) {
         if let Some(exchange) = self.registry.get(ticket) {
-            self.forwarder.metrics.passed_on.inc();
+            self.forwarder.metrics.delegated.inc();
             self.peers.pass_on(exchange, to, address);
         }
     }
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -239,7 +239,7 @@
 
     fn note(&self, outcome: &'static str, events: u32) {
         let now = self.gate.now();
-        self.gate.metrics.ended(outcome, now.since(self.ask.arrived_at));
+        self.gate.metrics.record_request(outcome, now.since(self.ask.arrived_at));
         info!(self.gate.log, "request ended";
             "request_id" => self.ask.id(),
             "route" => &self.ask.route.name,
--- a/crates/telemetry/src/metrics/entry.rs
+++ b/crates/telemetry/src/metrics/entry.rs
@@ -27,7 +27,7 @@
     /// Attempts after the first of a request.
     pub retries: Counter,
     /// Requests delegated to the entry that issued their key.
-    pub passed_on: Counter,
+    pub delegated: Counter,
     /// Targets that may receive requests.
     pub targets_up: Gauge,
     /// Replicas in the placements.
@@ -51,7 +51,7 @@
         let (queue_time, first_token, answer_time) =
             (latency_histogram(), latency_histogram(), latency_histogram());
         let in_flight = Gauge::default();
-        let (retries, passed_on) = (Counter::default(), Counter::default());
+        let (retries, delegated) = (Counter::default(), Counter::default());
         let (targets_up, replicas, replicas_whole) =
             (Gauge::default(), Gauge::default(), Gauge::default());
         let group_downtime = Counter::<f64, AtomicU64>::default();
@@ -81,7 +81,7 @@
             registry.register(
                 "passed_on",
                 "Requests passed on to another entry",
-                passed_on.clone(),
+                delegated.clone(),
             );
         });
         Self {
@@ -92,7 +92,7 @@
             answer_time,
             in_flight,
             retries,
-            passed_on,
+            delegated,
             targets_up,
             replicas,
             replicas_whole,
--- a/crates/telemetry/src/metrics/gateway.rs
+++ b/crates/telemetry/src/metrics/gateway.rs
@@ -33,7 +33,7 @@
     ///
     /// ```
     /// let metrics = celeryhaven_telemetry::GatewayMetrics::new();
-    /// metrics.ended("answered", 12);
+    /// metrics.record_request("answered", 12);
     /// assert!(metrics.process.encode().contains("celeryhaven_requests_total"));
     /// ```
     pub fn new() -> Self {
@@ -73,7 +73,7 @@
     }
 
     /// Records a completed request.
-    pub fn ended(&self, outcome: &'static str, took_ms: u64) {
+    pub fn record_request(&self, outcome: &'static str, took_ms: u64) {
         let label = OutcomeLabel { call: "request", outcome };
         self.requests.get_or_create(&label).inc();
         self.request_time.observe(took_ms as f64 / 1_000.0);
--- a/crates/telemetry/tests/metrics_page.rs
+++ b/crates/telemetry/tests/metrics_page.rs
@@ -55,7 +55,7 @@
 
 fn populated_gateway() -> GatewayMetrics {
     let metrics = GatewayMetrics::new();
-    metrics.ended("answered", 1);
+    metrics.record_request("answered", 1);
     metrics.orders.get_or_create(&outcome()).inc();
     let label = StoreCallLabel { kind: "nodes", call: "list" };
     metrics.store_calls.get_or_create(&label).inc();
