--- a/crates/gateway/src/control/control_loop.rs
+++ b/crates/gateway/src/control/control_loop.rs
@@ -43,7 +43,7 @@
 
 /// What nodes that follow this one may take.
 const PEER_LIMITS: ServerLimits =
-    ServerLimits { header_bytes_max: 8 * 1024, idle: Duration::from_secs(30) };
+    ServerLimits { header_bytes_max: 8 * 1024, idle_timeout: Duration::from_secs(30) };
 
 /// What the control thread is made of.
 pub(crate) struct ControlParts<A> {
--- a/crates/gateway/src/control/relay/peer_client.rs
+++ b/crates/gateway/src/control/relay/peer_client.rs
@@ -70,7 +70,7 @@
             return None;
         }
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        if channel.settle().await {
+        if channel.wait_idle().await {
             channels.put(peer.address, channel, None);
         }
         Some(body)
--- a/crates/gateway/src/control/targets.rs
+++ b/crates/gateway/src/control/targets.rs
@@ -101,7 +101,7 @@
             let answer = async {
                 let (mut channel, is_new) = self.channels.take(address).await?;
                 match channel.send(request.clone()).await {
-                    Err(ChannelError::Ended) if !is_new => {
+                    Err(ChannelError::Closed) if !is_new => {
                         channel = self.channels.connect(address).await?;
                         let response = channel.send(request).await?;
                         Ok((channel, response))
@@ -132,7 +132,7 @@
     ) {
         let closes = self.adapter.answer_head(head.status, &head.headers).closes;
         let whole = http_body_util::BodyExt::collect(body).await.is_ok();
-        if whole && !closes && channel.settle().await {
+        if whole && !closes && channel.wait_idle().await {
             self.channels.put(address, channel, None);
         }
     }
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -23,7 +23,7 @@
 
 /// What callers may take until the configuration says it.
 const FIRST_LIMITS: ServerLimits =
-    ServerLimits { header_bytes_max: 16 * 1024, idle: Duration::from_secs(15) };
+    ServerLimits { header_bytes_max: 16 * 1024, idle_timeout: Duration::from_secs(15) };
 
 /// Channels to targets.
 ///
@@ -31,8 +31,8 @@
 /// unacknowledged for longer than a stalled replica takes to show itself is cut off.
 const TARGET_CHANNELS: PoolSettings = PoolSettings {
     connect_timeout: Duration::from_millis(300),
-    silence: Duration::from_millis(1_500),
-    idle: Duration::from_secs(10),
+    tcp_user_timeout: Duration::from_millis(1_500),
+    idle_timeout: Duration::from_secs(10),
     idle_max: 8,
 };
 
@@ -177,7 +177,7 @@
     let callers = bind(settings.caller_listen)?;
     let (ready, lookup) = (bind(settings.ready_listen)?, bind(settings.lookup_listen)?);
     let metrics = bind(settings.metrics_listen)?;
-    let open = callers.open();
+    let open = callers.open_connections();
     let own = gate.clone();
     let serve = callers
         .serve(executor.clone(), stop.clone(), move |request| answer_caller(own.clone(), request));
@@ -213,7 +213,7 @@
             let wanted = routes.config().limits;
             limits.set(ServerLimits {
                 header_bytes_max: wanted.header_bytes_max,
-                idle: Duration::from_millis(wanted.idle_timeout_ms),
+                idle_timeout: Duration::from_millis(wanted.idle_timeout_ms),
             });
         }
     }
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -85,7 +85,7 @@
         let answer = self.exchange.unless_interrupted(channel.send(request)).await;
         match answer {
             Ok(Ok(response)) => Ok((channel, response)),
-            Ok(Err(ChannelError::Ended)) => Err(Sent::Nothing),
+            Ok(Err(ChannelError::Closed)) => Err(Sent::Nothing),
             Ok(Err(error)) => {
                 self.note_error(&error);
                 Err(Sent::End(AttemptEnd::Broken(error.verdict())))
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -154,8 +154,8 @@
         };
         match end {
             AttemptEnd::Answered => {
-                self.gate.finished(self.ticket, self.splitter.events(), &self.ask);
-                self.end("answered", self.splitter.events());
+                self.gate.finished(self.ticket, self.splitter.event_count(), &self.ask);
+                self.end("answered", self.splitter.event_count());
                 true
             }
             AttemptEnd::Interrupted(Interrupt::Deadline) => {
@@ -200,7 +200,7 @@
     async fn refuse(&mut self, refusal: Refusal) {
         if self.sink.has_begun() {
             // The sink is dropped without an end mark, so the caller sees a broken answer.
-            return self.end("broken off", self.splitter.events());
+            return self.end("broken off", self.splitter.event_count());
         }
         if let Some((parts, body)) = self.failure.take() {
             self.sink.begin(AnswerParts { whole: Some(body), ..parts }).await;
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -177,7 +177,7 @@
 
     /// Keeps the channel for the next request, once its exchange is over.
     async fn keep_channel(&self, mut channel: Channel, head: &AnswerHead) {
-        if channel.settle().await {
+        if channel.wait_idle().await {
             let channels = &self.exchange.gate.channels;
             channels.put(self.routable.address, channel, Self::keep(head));
         }
--- a/crates/http/src/client/channel.rs
+++ b/crates/http/src/client/channel.rs
@@ -11,8 +11,8 @@
 use snafu::ResultExt;
 
 use crate::client::ChannelError;
-use crate::client::error::{BrokenSnafu, ConnectSnafu};
-use crate::socket::{SmolIo, set_silence_timeout};
+use crate::client::error::{ConnectSnafu, ExchangeFailedSnafu};
+use crate::socket::{SmolIo, set_tcp_options};
 
 /// A connection to a target, which carries one exchange at a time.
 ///
@@ -26,7 +26,7 @@
 impl Channel {
     /// Connects to a target.
     ///
-    /// `silence` is the maximum time that sent bytes may stay unacknowledged.
+    /// `tcp_user_timeout` is the maximum time that sent bytes may stay unacknowledged.
     ///
     /// # Errors
     ///
@@ -35,7 +35,7 @@
         executor: &LocalExecutor<'_>,
         address: SocketAddr,
         timeout: Duration,
-        silence: Duration,
+        tcp_user_timeout: Duration,
     ) -> Result<Self, ChannelError> {
         let timed_out = async {
             Timer::after(timeout).await;
@@ -43,8 +43,9 @@
         };
         let connect = async { Async::<TcpStream>::connect(address).await.context(ConnectSnafu) };
         let stream = smol::future::or(connect, timed_out).await?;
-        set_silence_timeout(stream.get_ref(), silence).context(ConnectSnafu)?;
-        let (sender, connection) = handshake(SmolIo::new(stream)).await.context(BrokenSnafu)?;
+        set_tcp_options(stream.get_ref(), tcp_user_timeout).context(ConnectSnafu)?;
+        let (sender, connection) =
+            handshake(SmolIo::new(stream)).await.context(ExchangeFailedSnafu)?;
         // The sender reports a connection error: a running exchange fails, an idle sender closes.
         let task = executor.spawn(async move { connection.await.unwrap_or_default() });
         Ok(Self { sender, _connection: task })
@@ -54,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ChannelError::Ended`] if nothing was sent, and [`ChannelError::Broken`] if the
+    /// Returns [`ChannelError::Closed`] if nothing was sent, and [`ChannelError::ExchangeFailed`] if the
     /// request may have been sent.
     pub async fn send(
         &mut self,
@@ -62,8 +63,8 @@
     ) -> Result<Response<Incoming>, ChannelError> {
         self.sender.try_send_request(request).await.map_err(|mut unsent| {
             match unsent.take_message() {
-                Some(_) => ChannelError::Ended,
-                None => ChannelError::Broken { source: unsent.into_error() },
+                Some(_) => ChannelError::Closed,
+                None => ChannelError::ExchangeFailed { source: unsent.into_error() },
             }
         })
     }
@@ -77,7 +78,7 @@
     }
 
     /// Waits until the last exchange is complete; returns whether the connection is still open.
-    pub async fn settle(&mut self) -> bool {
+    pub async fn wait_idle(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
--- a/crates/http/src/client/error.rs
+++ b/crates/http/src/client/error.rs
@@ -19,10 +19,10 @@
     },
     /// The connection was closed before anything was sent.
     #[snafu(display("connection already closed; open a new one"))]
-    Ended,
+    Closed,
     /// The exchange failed after the request may have been sent.
     #[snafu(display("exchange failed after the request may have been sent: {source}"))]
-    Broken {
+    ExchangeFailed {
         /// Error of the HTTP connection.
         source: hyper::Error,
     },
@@ -32,8 +32,8 @@
     /// Whether the request may have reached the target.
     pub const fn verdict(&self) -> Verdict {
         match self {
-            Self::Connect { .. } | Self::ConnectTimeout { .. } | Self::Ended => Verdict::NotRun,
-            Self::Broken { .. } => Verdict::MayHaveRun,
+            Self::Connect { .. } | Self::ConnectTimeout { .. } | Self::Closed => Verdict::NotRun,
+            Self::ExchangeFailed { .. } => Verdict::MayHaveRun,
         }
     }
 }
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -14,9 +14,9 @@
     /// Maximum time to connect.
     pub connect_timeout: Duration,
     /// Maximum time that sent bytes may stay unacknowledged.
-    pub silence: Duration,
+    pub tcp_user_timeout: Duration,
     /// Maximum time that a connection stays in the pool.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Maximum number of idle connections per target.
     pub idle_max: usize,
 }
@@ -60,15 +60,16 @@
     ///
     /// Returns an error if no connection can be established.
     pub async fn connect(&self, address: SocketAddr) -> Result<Channel, ChannelError> {
-        let PoolSettings { connect_timeout, silence, .. } = self.settings;
-        Channel::connect(&self.executor, address, connect_timeout, silence).await
+        let PoolSettings { connect_timeout, tcp_user_timeout, .. } = self.settings;
+        Channel::connect(&self.executor, address, connect_timeout, tcp_user_timeout).await
     }
 
     /// Returns a connection whose exchange is complete to the pool.
     ///
     /// `keep_alive` is the time after which the target closes an idle connection, if known.
     pub fn put(&self, address: SocketAddr, channel: Channel, keep_alive: Option<Duration>) {
-        let lifetime = keep_alive.unwrap_or(self.settings.idle).min(self.settings.idle);
+        let lifetime =
+            keep_alive.unwrap_or(self.settings.idle_timeout).min(self.settings.idle_timeout);
         let mut idle = self.idle.borrow_mut();
         let channels = idle.entry(address).or_default();
         if channels.len() < self.settings.idle_max && !lifetime.is_zero() {
--- a/crates/http/src/events/event_splitter.rs
+++ b/crates/http/src/events/event_splitter.rs
@@ -19,7 +19,7 @@
 pub struct EventSplitter {
     pending: BytesMut,
     last_id: Option<String>,
-    events: u32,
+    event_count: u32,
 }
 
 impl EventSplitter {
@@ -63,8 +63,8 @@
     }
 
     /// Returns the number of complete events with an id.
-    pub fn events(&self) -> u32 {
-        self.events
+    pub fn event_count(&self) -> u32 {
+        self.event_count
     }
 
     fn record_ids(&mut self, events: &[u8]) {
@@ -73,7 +73,7 @@
             let Some(id) = line.strip_prefix(b"id:") else { continue };
             let id = id.strip_prefix(b" ").unwrap_or(id);
             self.last_id = Some(String::from_utf8_lossy(id).into_owned());
-            self.events += 1;
+            self.event_count += 1;
         }
     }
 }
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -6,7 +6,7 @@
     /// Maximum size of a request head, in bytes.
     pub header_bytes_max: usize,
     /// Maximum time that a connection may stay idle or that reading a request head may take.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Minimum buffer size that `hyper` accepts, in bytes.
--- a/crates/http/src/server/listener.rs
+++ b/crates/http/src/server/listener.rs
@@ -17,7 +17,7 @@
 use smol::{LocalExecutor, Timer};
 
 use crate::server::{ServerLimits, StopSignal};
-use crate::socket::{SmolIo, SmolTimer, set_silence_timeout};
+use crate::socket::{SmolIo, SmolTimer, set_tcp_options};
 
 /// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -66,7 +66,7 @@
     }
 
     /// Returns the shared count of open connections.
-    pub fn open(&self) -> Rc<Cell<usize>> {
+    pub fn open_connections(&self) -> Rc<Cell<usize>> {
         self.open.clone()
     }
 
@@ -137,14 +137,14 @@
 {
     // Without the socket options the connection still works, but an unreachable caller keeps it
     // open for longer.
-    set_silence_timeout(stream.get_ref(), CALLER_TCP_USER_TIMEOUT).unwrap_or_default();
+    set_tcp_options(stream.get_ref(), CALLER_TCP_USER_TIMEOUT).unwrap_or_default();
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move { Ok::<_, Infallible>(answer.await) }
     });
     let connection = Builder::new()
         .timer(SmolTimer)
-        .header_read_timeout(limits.idle)
+        .header_read_timeout(limits.idle_timeout)
         .max_buf_size(limits.buffer_bytes())
         .auto_date_header(false)
         .serve_connection(SmolIo::new(stream), service);
--- a/crates/http/src/socket/options.rs
+++ b/crates/http/src/socket/options.rs
@@ -12,10 +12,10 @@
 /// # Errors
 ///
 /// Returns an error if the kernel rejects an option.
-pub fn set_silence_timeout(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+pub fn set_tcp_options(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(silence))?;
+    socket.set_tcp_user_timeout(Some(user_timeout))?;
     let interval = Duration::from_secs(1);
     socket.set_tcp_keepalive(
         &TcpKeepalive::new().with_time(interval).with_interval(interval).with_retries(2),
--- a/crates/http/tests/events.rs
+++ b/crates/http/tests/events.rs
@@ -22,7 +22,7 @@
             start = end;
         }
         assert_eq!(out, text.as_bytes(), "seed {seed}");
-        assert_eq!(splitter.events() as usize, events.len(), "seed {seed}");
+        assert_eq!(splitter.event_count() as usize, events.len(), "seed {seed}");
         assert!(!splitter.is_inside_event(), "seed {seed}");
     }
 }
