--- a/crates/explain/src/requests/request_table.rs
+++ b/crates/explain/src/requests/request_table.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Stands for an error that cannot occur, because histograms support three significant digits.
+/// Panics. Never called, because a histogram of three significant digits is always valid.
 fn unreachable_histogram() -> Histogram<u64> {
     unreachable!("a histogram of three digits")
 }
