--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -5,7 +5,7 @@
 use async_channel::Sender;
 use celeryhaven_clock::BootClock;
 use celeryhaven_fleet::{RelayAnswer, StoreContact};
-use celeryhaven_http::ChannelPool;
+use celeryhaven_http::ConnectionPool;
 use celeryhaven_store::StoreCodec;
 use celeryhaven_types::NodeName;
 use celeryhaven_types::store::{ObjectKey, ObjectVersion, StoreReply, StoreRequest};
@@ -100,7 +100,7 @@
 /// for nothing. Versions are the store's, so it goes on where it stopped.
 pub(crate) struct Feed<W> {
     pub(crate) store: CountedStore<W>,
-    pub(crate) channels: ChannelPool,
+    pub(crate) channels: ConnectionPool,
     pub(crate) node: NodeName,
     pub(crate) prefix: ObjectKey,
     pub(crate) kind: FeedKind,
--- a/crates/gateway/src/control/relay/peer_client.rs
+++ b/crates/gateway/src/control/relay/peer_client.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use celeryhaven_http::ChannelPool;
+use celeryhaven_http::ConnectionPool;
 use http::header::AUTHORIZATION;
 use http::{HeaderValue, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -23,7 +23,7 @@
 
 /// Asks a relay what is new, and reports this node's demand; `None` if it does not answer.
 pub(crate) async fn ask_relay(
-    channels: &ChannelPool,
+    channels: &ConnectionPool,
     relay: &RelayAddress,
     question: &Question,
     report: Option<&DemandReport>,
@@ -39,7 +39,7 @@
 
 /// Tells the node that decides of a suspicion; a loss is only a delay, since the list shows it too.
 pub(crate) async fn send_suspicion(
-    channels: &ChannelPool,
+    channels: &ConnectionPool,
     peer: &RelayAddress,
     suspicion: &Suspicion,
 ) {
@@ -49,7 +49,7 @@
 
 /// One exchange with a node, which may wait that long before it answers.
 async fn call_peer(
-    channels: &ChannelPool,
+    channels: &ConnectionPool,
     peer: &RelayAddress,
     path: &str,
     body: Bytes,
--- a/crates/gateway/src/control/targets.rs
+++ b/crates/gateway/src/control/targets.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use celeryhaven_fleet::{OrderOutcome, TargetOrder};
 use celeryhaven_forming::Reachability;
-use celeryhaven_http::{ChannelError, ChannelPool};
+use celeryhaven_http::{ConnectionError, ConnectionPool};
 use celeryhaven_peers::NodeProbe;
 use celeryhaven_types::VmName;
 use http::header::{CONTENT_TYPE, HOST};
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 pub(crate) struct TargetCalls<A> {
     pub(crate) adapter: A,
-    pub(crate) channels: ChannelPool,
+    pub(crate) channels: ConnectionPool,
 }
 
 impl<A: Adapter> TargetCalls<A> {
@@ -51,7 +51,7 @@
         self.adapter.expect_target(headers, name);
         match self.exchange(address, request, ORDER_TIMEOUT).await {
             Some(Ok(answer)) => self.adapter.order_outcome(answer.status),
-            Some(Err(ChannelError::Connect { source })) if is_refused(&source) => {
+            Some(Err(ConnectionError::Connect { source })) if is_refused(&source) => {
                 OrderOutcome::Gone
             }
             Some(Err(_)) | None => OrderOutcome::Unanswered,
@@ -64,7 +64,7 @@
         *request.uri_mut() = http::Uri::from_static(self.adapter.paths().report);
         match self.exchange(address, request, PROBE_TIMEOUT).await {
             Some(Ok(_)) => Reachability::Answers,
-            Some(Err(ChannelError::Connect { source })) if is_refused(&source) => {
+            Some(Err(ConnectionError::Connect { source })) if is_refused(&source) => {
                 Reachability::Gone
             }
             Some(Err(_)) | None => Reachability::Silent,
@@ -89,7 +89,7 @@
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Option<Result<Parts, ChannelError>> {
+    ) -> Option<Result<Parts, ConnectionError>> {
         if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
@@ -101,7 +101,7 @@
             let answer = async {
                 let (mut channel, is_new) = self.channels.take(address).await?;
                 match channel.send(request.clone()).await {
-                    Err(ChannelError::Closed) if !is_new => {
+                    Err(ConnectionError::Closed) if !is_new => {
                         channel = self.channels.connect(address).await?;
                         let response = channel.send(request).await?;
                         Ok((channel, response))
@@ -126,7 +126,7 @@
     async fn finish(
         &self,
         address: SocketAddr,
-        mut channel: celeryhaven_http::Channel,
+        mut channel: celeryhaven_http::Connection,
         head: &Parts,
         body: hyper::body::Incoming,
     ) {
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender, unbounded};
-use celeryhaven_http::{ChannelPool, Listener, PoolSettings, ServerLimits, StopSignal};
+use celeryhaven_http::{ConnectionPool, Listener, PoolSettings, ServerLimits, StopSignal};
 use celeryhaven_settings::GatewaySettings;
 use celeryhaven_store::StoreClient;
 use celeryhaven_telemetry::GatewayMetrics;
@@ -101,7 +101,7 @@
         let executor = Rc::new(LocalExecutor::new());
         let timeout = Duration::from_millis(settings.store_timeout_ms);
         let client = StoreClient::with_codec(settings.store, timeout, adapter.clone());
-        let channels = ChannelPool::new(executor.clone(), TARGET_CHANNELS);
+        let channels = ConnectionPool::new(executor.clone(), TARGET_CHANNELS);
         let targets = TargetCalls { adapter: adapter.clone(), channels };
         let parts = ControlParts {
             adapter,
@@ -136,7 +136,7 @@
     let earned = settings.retry_ratio * RETRY_PART;
     let extra = settings.retry_extra * RETRY_PART / RETRY_POOLS;
     let state = GateState::new(seed, earned, extra);
-    let channels = ChannelPool::new(executor.clone(), TARGET_CHANNELS);
+    let channels = ConnectionPool::new(executor.clone(), TARGET_CHANNELS);
     let gate = Gate::new(adapter, executor.clone(), channels, state, metrics, log.clone(), news);
     let stop = StopSignal::default();
     let limits = Rc::new(Cell::new(FIRST_LIMITS));
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use celeryhaven_http::{Channel, ChannelError};
+use celeryhaven_http::{Connection, ConnectionError};
 use celeryhaven_types::Verdict;
 use http::{Request, Response};
 use http_body_util::Full;
@@ -59,7 +59,7 @@
     }
 
     /// Sends on a kept channel, and on a new one if the kept one had ended unused.
-    async fn send(&mut self) -> Result<(Channel, Response<Incoming>), AttemptEnd> {
+    async fn send(&mut self) -> Result<(Connection, Response<Incoming>), AttemptEnd> {
         let channels = self.exchange.gate.channels.clone();
         let address = self.routable.address;
         let (channel, is_new) = self.unless_broken(async { channels.take(address).await }).await?;
@@ -79,13 +79,13 @@
 
     async fn exchange_on(
         &mut self,
-        mut channel: Channel,
-    ) -> Result<(Channel, Response<Incoming>), Sent> {
+        mut channel: Connection,
+    ) -> Result<(Connection, Response<Incoming>), Sent> {
         let request = self.request();
         let answer = self.exchange.unless_interrupted(channel.send(request)).await;
         match answer {
             Ok(Ok(response)) => Ok((channel, response)),
-            Ok(Err(ChannelError::Closed)) => Err(Sent::Nothing),
+            Ok(Err(ConnectionError::Closed)) => Err(Sent::Nothing),
             Ok(Err(error)) => {
                 self.note_error(&error);
                 Err(Sent::End(AttemptEnd::Broken(error.verdict())))
@@ -97,7 +97,7 @@
     /// Waits for a connection; none means that the request has not run.
     async fn unless_broken<T>(
         &mut self,
-        connect: impl Future<Output = Result<T, ChannelError>>,
+        connect: impl Future<Output = Result<T, ConnectionError>>,
     ) -> Result<T, AttemptEnd> {
         match self.exchange.unless_interrupted(connect).await {
             Ok(Ok(connected)) => Ok(connected),
@@ -155,7 +155,7 @@
         AttemptEnd::Broken(Verdict::NotRun)
     }
 
-    fn note_error(&self, error: &ChannelError) {
+    fn note_error(&self, error: &ConnectionError) {
         info!(self.exchange.gate.log, "attempt broken";
             "request_id" => self.exchange.ask.id(),
             "target" => self.routable.target.as_str(),
--- a/crates/gateway/src/traffic/gate.rs
+++ b/crates/gateway/src/traffic/gate.rs
@@ -4,7 +4,7 @@
 
 use async_channel::{Receiver, Sender};
 use celeryhaven_clock::BootClock;
-use celeryhaven_http::ChannelPool;
+use celeryhaven_http::ConnectionPool;
 use celeryhaven_policy::Ticket;
 use celeryhaven_telemetry::GatewayMetrics;
 use celeryhaven_types::{TimeMs, Verdict};
@@ -25,7 +25,7 @@
 pub(crate) struct Gate<A> {
     pub(crate) adapter: A,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    pub(crate) channels: ChannelPool,
+    pub(crate) channels: ConnectionPool,
     pub(crate) state: RefCell<GateState>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) log: Logger,
@@ -39,7 +39,7 @@
     pub(crate) fn new(
         adapter: A,
         executor: Rc<LocalExecutor<'static>>,
-        channels: ChannelPool,
+        channels: ConnectionPool,
         state: GateState,
         metrics: GatewayMetrics,
         log: Logger,
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -1,5 +1,5 @@
 use bytes::{Bytes, BytesMut};
-use celeryhaven_http::Channel;
+use celeryhaven_http::Connection;
 use celeryhaven_types::Verdict;
 use http::{Response, StatusCode};
 use http_body_util::BodyExt;
@@ -27,7 +27,7 @@
     /// Passes a target's answer on.
     pub(crate) async fn relay(
         &mut self,
-        channel: Channel,
+        channel: Connection,
         response: Response<Incoming>,
         head: AnswerHead,
     ) -> AttemptEnd {
@@ -176,7 +176,7 @@
     }
 
     /// Keeps the channel for the next request, once its exchange is over.
-    async fn keep_channel(&self, mut channel: Channel, head: &AnswerHead) {
+    async fn keep_channel(&self, mut channel: Connection, head: &AnswerHead) {
         if channel.wait_idle().await {
             let channels = &self.exchange.gate.channels;
             channels.put(self.routable.address, channel, Self::keep(head));
--- a/crates/http/src/client/channel.rs
+++ b/crates/http/src/client/connection.rs
@@ -10,7 +10,7 @@
 use smol::{LocalExecutor, Task, Timer};
 use snafu::ResultExt;
 
-use crate::client::ChannelError;
+use crate::client::ConnectionError;
 use crate::client::error::{ConnectSnafu, ExchangeFailedSnafu};
 use crate::socket::{SmolIo, set_tcp_options};
 
@@ -18,12 +18,12 @@
 ///
 /// Dropping it closes the connection at once, which cancels a running request at the target.
 #[derive(Debug)]
-pub struct Channel {
+pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    _connection: Task<()>,
+    _driver: Task<()>,
 }
 
-impl Channel {
+impl Connection {
     /// Connects to a target.
     ///
     /// `tcp_user_timeout` is the maximum time that sent bytes may stay unacknowledged.
@@ -36,35 +36,34 @@
         address: SocketAddr,
         timeout: Duration,
         tcp_user_timeout: Duration,
-    ) -> Result<Self, ChannelError> {
+    ) -> Result<Self, ConnectionError> {
         let timed_out = async {
             Timer::after(timeout).await;
-            Err(ChannelError::ConnectTimeout { timeout_ms: timeout.as_millis() as u64 })
+            Err(ConnectionError::ConnectTimeout { timeout_ms: timeout.as_millis() as u64 })
         };
         let connect = async { Async::<TcpStream>::connect(address).await.context(ConnectSnafu) };
         let stream = smol::future::or(connect, timed_out).await?;
         set_tcp_options(stream.get_ref(), tcp_user_timeout).context(ConnectSnafu)?;
-        let (sender, connection) =
-            handshake(SmolIo::new(stream)).await.context(ExchangeFailedSnafu)?;
+        let (sender, driver) = handshake(SmolIo::new(stream)).await.context(ExchangeFailedSnafu)?;
         // The sender reports a connection error: a running exchange fails, an idle sender closes.
-        let task = executor.spawn(async move { connection.await.unwrap_or_default() });
-        Ok(Self { sender, _connection: task })
+        let task = executor.spawn(async move { driver.await.unwrap_or_default() });
+        Ok(Self { sender, _driver: task })
     }
 
     /// Sends a request and waits for the head of its answer.
     ///
     /// # Errors
     ///
-    /// Returns [`ChannelError::Closed`] if nothing was sent, and [`ChannelError::ExchangeFailed`] if the
-    /// request may have been sent.
+    /// Returns [`ConnectionError::Closed`] if nothing was sent, and
+    /// [`ConnectionError::ExchangeFailed`] if the request may have been sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, ChannelError> {
+    ) -> Result<Response<Incoming>, ConnectionError> {
         self.sender.try_send_request(request).await.map_err(|mut unsent| {
             match unsent.take_message() {
-                Some(_) => ChannelError::Closed,
-                None => ChannelError::ExchangeFailed { source: unsent.into_error() },
+                Some(_) => ConnectionError::Closed,
+                None => ConnectionError::ExchangeFailed { source: unsent.into_error() },
             }
         })
     }
--- a/crates/http/src/client/error.rs
+++ b/crates/http/src/client/error.rs
@@ -4,7 +4,7 @@
 /// Reason for an exchange without an answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum ChannelError {
+pub enum ConnectionError {
     /// The connection could not be established; nothing was sent.
     #[snafu(display("no connection: {source}; check that the target listens"))]
     Connect {
@@ -28,7 +28,7 @@
     },
 }
 
-impl ChannelError {
+impl ConnectionError {
     /// Whether the request may have reached the target.
     pub const fn verdict(&self) -> Verdict {
         match self {
--- a/crates/http/src/client/mod.rs
+++ b/crates/http/src/client/mod.rs
@@ -1,9 +1,9 @@
 //! A connection to a target, and the pool of idle connections.
 
-mod channel;
+mod connection;
 mod error;
 mod pool;
 
-pub use channel::Channel;
-pub use error::ChannelError;
-pub use pool::{ChannelPool, PoolSettings};
+pub use connection::Connection;
+pub use error::ConnectionError;
+pub use pool::{ConnectionPool, PoolSettings};
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -6,9 +6,9 @@
 use celeryhaven_types::Map;
 use smol::LocalExecutor;
 
-use crate::client::{Channel, ChannelError};
+use crate::client::{Connection, ConnectionError};
 
-/// Settings of a [`ChannelPool`].
+/// Settings of a [`ConnectionPool`].
 #[derive(Clone, Copy, Debug)]
 pub struct PoolSettings {
     /// Maximum time to connect.
@@ -23,19 +23,19 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    channel: Channel,
+    connection: Connection,
     expires_at: Instant,
 }
 
 /// A pool of idle connections to targets, by address.
 #[derive(Clone, Debug)]
-pub struct ChannelPool {
+pub struct ConnectionPool {
     executor: Rc<LocalExecutor<'static>>,
     settings: PoolSettings,
     idle: Rc<RefCell<Map<SocketAddr, Vec<IdleConnection>>>>,
 }
 
-impl ChannelPool {
+impl ConnectionPool {
     /// Creates an empty pool whose connections run on this executor.
     pub fn new(executor: Rc<LocalExecutor<'static>>, settings: PoolSettings) -> Self {
         Self { executor, settings, idle: Rc::default() }
@@ -47,9 +47,9 @@
     /// # Errors
     ///
     /// Returns an error if no connection can be established.
-    pub async fn take(&self, address: SocketAddr) -> Result<(Channel, bool), ChannelError> {
+    pub async fn take(&self, address: SocketAddr) -> Result<(Connection, bool), ConnectionError> {
         match self.take_idle(address) {
-            Some(channel) => Ok((channel, false)),
+            Some(connection) => Ok((connection, false)),
             None => Ok((self.connect(address).await?, true)),
         }
     }
@@ -59,29 +59,29 @@
     /// # Errors
     ///
     /// Returns an error if no connection can be established.
-    pub async fn connect(&self, address: SocketAddr) -> Result<Channel, ChannelError> {
+    pub async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectionError> {
         let PoolSettings { connect_timeout, tcp_user_timeout, .. } = self.settings;
-        Channel::connect(&self.executor, address, connect_timeout, tcp_user_timeout).await
+        Connection::connect(&self.executor, address, connect_timeout, tcp_user_timeout).await
     }
 
     /// Returns a connection whose exchange is complete to the pool.
     ///
     /// `keep_alive` is the time after which the target closes an idle connection, if known.
-    pub fn put(&self, address: SocketAddr, channel: Channel, keep_alive: Option<Duration>) {
+    pub fn put(&self, address: SocketAddr, connection: Connection, keep_alive: Option<Duration>) {
         let lifetime =
             keep_alive.unwrap_or(self.settings.idle_timeout).min(self.settings.idle_timeout);
         let mut idle = self.idle.borrow_mut();
-        let channels = idle.entry(address).or_default();
-        if channels.len() < self.settings.idle_max && !lifetime.is_zero() {
-            channels.push(IdleConnection { channel, expires_at: Instant::now() + lifetime });
+        let connections = idle.entry(address).or_default();
+        if connections.len() < self.settings.idle_max && !lifetime.is_zero() {
+            connections.push(IdleConnection { connection, expires_at: Instant::now() + lifetime });
         }
     }
 
-    fn take_idle(&self, address: SocketAddr) -> Option<Channel> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let channels = idle.get_mut(&address)?;
+        let connections = idle.get_mut(&address)?;
         let now = Instant::now();
-        channels.retain(|idle| idle.expires_at > now && idle.channel.is_idle());
-        channels.pop().map(|idle| idle.channel)
+        connections.retain(|idle| idle.expires_at > now && idle.connection.is_idle());
+        connections.pop().map(|idle| idle.connection)
     }
 }
