--- a/crates/http/tests/events.rs
+++ b/crates/http/tests/events.rs
@@ -7,7 +7,7 @@
 const SIZE: usize = 40;
 
 #[test]
-fn splitter_any_cuts() {
+fn splitter_arbitrary_chunks() {
     for seed in 0..CASES {
         let mut random = Gen::from_size_and_seed(SIZE, seed as u64);
         let events: Vec<String> = (1..=u8::arbitrary(&mut random) % 9 + 1)
@@ -29,7 +29,7 @@
 
 /// A partial event must not be forwarded, because the target that resumes the stream sends it again.
 #[test]
-fn splitter_cut_in_event() {
+fn splitter_partial_event() {
     let mut splitter = EventSplitter::new(Some("3".into()));
     let complete = splitter.push(b"id: 4\ndata: x\n\nid: 5\nda").unwrap();
     assert_eq!(complete, "id: 4\ndata: x\n\n");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn splitter_any_bytes() {
+fn splitter_arbitrary_bytes() {
     for seed in 0..CASES {
         let mut random = Gen::from_size_and_seed(SIZE, seed as u64);
         let bytes = Vec::<u8>::arbitrary(&mut random);
--- a/crates/store/tests/store_client.rs
+++ b/crates/store/tests/store_client.rs
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn call_nobody_listens() {
+fn call_connection_refused() {
     smol::block_on(async {
         let Store { server, client, .. } = store().await;
         server.cut().await;
