--- a/crates/http/tests/events.rs
+++ b/crates/http/tests/events.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// A partial event must not be forwarded, because the target that resumes the stream sends it again.
+/// A partial event must not be forwarded: the target that resumes the stream sends it again.
 #[test]
 fn splitter_partial_event() {
     let mut splitter = EventSplitter::new(Some("3".into()));
