--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -5,8 +5,8 @@
 use async_channel::Sender;
 use celeryhaven_clock::BootClock;
 use celeryhaven_fleet::{RelayAnswer, StoreContact};
-use celeryhaven_http::ChannelPool;
-use celeryhaven_store::StoreWire;
+use celeryhaven_http::ConnectionPool;
+use celeryhaven_store::StoreCodec;
 use celeryhaven_types::NodeName;
 use celeryhaven_types::store::{ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use rand::Rng;
@@ -100,7 +100,7 @@
 /// for nothing. Versions are the store's, so it goes on where it stopped.
 pub(crate) struct Feed<W> {
     pub(crate) store: CountedStore<W>,
-    pub(crate) channels: ChannelPool,
+    pub(crate) channels: ConnectionPool,
     pub(crate) node: NodeName,
     pub(crate) prefix: ObjectKey,
     pub(crate) kind: FeedKind,
@@ -117,7 +117,7 @@
     pub(crate) rng: SmallRng,
 }
 
-impl<W: StoreWire> Feed<W> {
+impl<W: StoreCodec> Feed<W> {
     /// Follows for ever.
     pub(crate) async fn follow(mut self) {
         self.ask_store().await;
@@ -158,7 +158,7 @@
         let report = self.demand_report();
         let reply = ask_relay(&self.channels, relay, &question, report.as_ref()).await;
         let answer = reply.map(|reply| {
-            self.relay.demand.borrow_mut().told(BootClock.now(), reply.demand);
+            self.relay.demand.borrow_mut().apply_fleet_demand(BootClock.now(), reply.demand);
             reply.answer
         });
         match answer {
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender, unbounded};
-use celeryhaven_http::{ChannelPool, Listener, PoolSettings, ServerLimits, StopSignal};
+use celeryhaven_http::{ConnectionPool, Listener, PoolSettings, ServerLimits, StopSignal};
 use celeryhaven_settings::GatewaySettings;
 use celeryhaven_store::StoreClient;
 use celeryhaven_telemetry::GatewayMetrics;
@@ -23,7 +23,7 @@
 
 /// What callers may take until the configuration says it.
 const FIRST_LIMITS: ServerLimits =
-    ServerLimits { header_bytes_max: 16 * 1024, idle: Duration::from_secs(15) };
+    ServerLimits { header_bytes_max: 16 * 1024, idle_timeout: Duration::from_secs(15) };
 
 /// Channels to targets.
 ///
@@ -31,8 +31,8 @@
 /// unacknowledged for longer than a stalled replica takes to show itself is cut off.
 const TARGET_CHANNELS: PoolSettings = PoolSettings {
     connect_timeout: Duration::from_millis(300),
-    silence: Duration::from_millis(1_500),
-    idle: Duration::from_secs(10),
+    tcp_user_timeout: Duration::from_millis(1_500),
+    idle_timeout: Duration::from_secs(10),
     idle_max: 8,
 };
 
@@ -100,8 +100,8 @@
     let control = move || {
         let executor = Rc::new(LocalExecutor::new());
         let timeout = Duration::from_millis(settings.store_timeout_ms);
-        let client = StoreClient::with_wire(settings.store, timeout, adapter.clone());
-        let channels = ChannelPool::new(executor.clone(), TARGET_CHANNELS);
+        let client = StoreClient::with_codec(settings.store, timeout, adapter.clone());
+        let channels = ConnectionPool::new(executor.clone(), TARGET_CHANNELS);
         let targets = TargetCalls { adapter: adapter.clone(), channels };
         let parts = ControlParts {
             adapter,
@@ -136,7 +136,7 @@
     let earned = settings.retry_ratio * RETRY_PART;
     let extra = settings.retry_extra * RETRY_PART / RETRY_POOLS;
     let state = GateState::new(seed, earned, extra);
-    let channels = ChannelPool::new(executor.clone(), TARGET_CHANNELS);
+    let channels = ConnectionPool::new(executor.clone(), TARGET_CHANNELS);
     let gate = Gate::new(adapter, executor.clone(), channels, state, metrics, log.clone(), news);
     let stop = StopSignal::default();
     let limits = Rc::new(Cell::new(FIRST_LIMITS));
@@ -177,7 +177,7 @@
     let callers = bind(settings.caller_listen)?;
     let (ready, lookup) = (bind(settings.ready_listen)?, bind(settings.lookup_listen)?);
     let metrics = bind(settings.metrics_listen)?;
-    let open = callers.open();
+    let open = callers.open_connections();
     let own = gate.clone();
     let serve = callers
         .serve(executor.clone(), stop.clone(), move |request| answer_caller(own.clone(), request));
@@ -213,7 +213,7 @@
             let wanted = routes.config().limits;
             limits.set(ServerLimits {
                 header_bytes_max: wanted.header_bytes_max,
-                idle: Duration::from_millis(wanted.idle_timeout_ms),
+                idle_timeout: Duration::from_millis(wanted.idle_timeout_ms),
             });
         }
     }
