--- a/crates/policy/src/fair/admission.rs
+++ b/crates/policy/src/fair/admission.rs
@@ -15,7 +15,7 @@
 /// Assumed utilisation for the first token of a request that is not sent yet.
 const ASSUMED_UTILISATION: f64 = 0.5;
 
-/// A request may wait for a target for at least this fraction of its objective, as a divisor.
+/// A request may wait to be sent for at least its objective divided by this.
 const MIN_WAIT_DIVISOR: u64 = 4;
 
 impl FairPolicy {
--- a/crates/policy/src/fair/fleet.rs
+++ b/crates/policy/src/fair/fleet.rs
@@ -215,9 +215,9 @@
 /// Returns the slots that a node may use until the next report: its share, or the slots it uses
 /// plus an even part of the free ones.
 ///
-/// The free slots of the report are reduced by this node's sends since, times the number of senders,
-/// because in a burst all nodes send alike. The even part is rounded at random. If the target is above
-/// its slots, the limit shrinks in proportion.
+/// The free slots of the report are reduced by the sends of this node since then, times the number of
+/// senders, because in a burst all nodes send alike. The even part is rounded at random. If the
+/// target has more requests than slots, the limit shrinks in proportion.
 fn slot_limit(state: &TargetState, total: u32, senders: u32, random: f64) -> u32 {
     let unreported = state.sends_since_report().saturating_mul(senders);
     let limit = if total > state.slots {
--- a/crates/policy/src/fair/running.rs
+++ b/crates/policy/src/fair/running.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Cancels attempts at a target that was just ejected, if they complete sooner elsewhere.
+    /// Cancels attempts at a target that was just ejected, if they would complete sooner elsewhere.
     ///
     /// A stalled stream produces no event, so its request would wait until the deadline. Each move
     /// is charged to the retry budget.
--- a/crates/policy/src/interface/decision.rs
+++ b/crates/policy/src/interface/decision.rs
@@ -20,7 +20,8 @@
             /// The refusal that the caller receives.
             refusal: Refusal,
         },
-        /// Stops a running attempt at its target; [`PolicyEvent::AttemptFailed`](super::PolicyEvent::AttemptFailed) follows.
+        /// Stops a running attempt at its target;
+        /// [`PolicyEvent::AttemptFailed`](super::PolicyEvent::AttemptFailed) follows.
         Cancel {
             /// The request whose attempt is stopped.
             ticket: Ticket,
--- a/crates/policy/src/targets/target_state.rs
+++ b/crates/policy/src/targets/target_state.rs
@@ -8,8 +8,8 @@
 use crate::interface::{TargetLoad, TargetProfile, Ticket};
 use crate::targets::{AttemptEstimate, Health, HealthState, InFlight, LoadedAdapter};
 
-/// Maximum number of sends, and of completions, recorded since the last report. It bounds the memory
-/// of a target that stops reporting; the oldest are dropped.
+/// Maximum number of sends, and of completions, recorded since the last report. It bounds the
+/// memory of a target that stops reporting; the oldest are dropped.
 const EVENTS_SINCE_REPORT_MAX: usize = 512;
 
 state! {
@@ -62,7 +62,7 @@
 /// Assumed time between reports until the first two are received.
 const INITIAL_REPORT_INTERVAL_MS: f64 = 1_000.0;
 
-/// A target is silent after this many report intervals, and not before the minimum.
+/// A target is silent after this many report intervals without a report, and not before the minimum.
 ///
 /// A paused VM whose slots are all in use receives no new requests that could fail there; only the
 /// missing reports show it.
--- a/crates/policy/tests/cluster/mod.rs
+++ b/crates/policy/tests/cluster/mod.rs
@@ -156,7 +156,7 @@
         self.send_event(node, PolicyEvent::TargetUp { target, profile });
     }
 
-    /// Sets the request rate; at one the replicas are at average utilisation.
+    /// Sets the request rate; at one, the replicas are at [`UTILISATION`].
     pub fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
@@ -187,7 +187,10 @@
             let affected: Vec<(u64, usize)> =
                 affected.map(|(&id, request)| (id, request.node)).collect();
             for (id, node) in affected {
-                self.due.retain(|(_, due)| !matches!(due, Timer::FirstToken(timer_id) | Timer::Completion(timer_id) if *timer_id == id));
+                self.due.retain(|(_, due)| {
+                    !matches!(due,
+                        Timer::FirstToken(timer_id) | Timer::Completion(timer_id) if *timer_id == id)
+                });
                 self.requests.entry(id).and_modify(|request| request.replica = None);
                 let (ticket, verdict) = (Ticket::new(id), Verdict::MayHaveRun);
                 self.send_event(node, PolicyEvent::AttemptFailed { ticket, verdict });
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! Source: P. Goyal, H. M. Vin, H. Cheng, "Start-time Fair Queuing", SIGCOMM 1996.
 //!
-//! The example `flood` shows how two organisations share the service: `cargo run -p
-//! celeryhaven-queue --example flood`.
+//! The example `flood` shows how two organisations share the service:
+//! `cargo run -p celeryhaven-queue --example flood`.
 
 mod error;
 mod fair_queue;
