--- a/crates/membership/examples/silent_member.rs
+++ b/crates/membership/examples/silent_member.rs
@@ -51,7 +51,7 @@
                 continue;
             }
             let mut actions = Vec::new();
-            receiver.hear(now, &from, message, &mut actions);
+            receiver.receive_message(now, &from, message, &mut actions);
             let name = receiver.me().node().clone();
             self.carry_out(now, &name, actions);
         }
--- a/crates/membership/src/detector/membership.rs
+++ b/crates/membership/src/detector/membership.rs
@@ -6,7 +6,7 @@
 use rand::seq::SliceRandom;
 
 use crate::detector::MembershipAction;
-use crate::member::{Member, MemberPhase, MemberState, Rumour};
+use crate::member::{Member, MemberPhase, MemberState, MembershipUpdate};
 use crate::message::{Message, Probe};
 use crate::probing::{ProbeOrder, UnderWay};
 use crate::rumours::RumourQueue;
@@ -15,12 +15,12 @@
 
 /// One node's view of who is a member.
 ///
-/// Drive it with [`Membership::tick`] at [`Membership::next_wake`] and [`Membership::hear`] for
+/// Drive it with [`Membership::tick`] at [`Membership::next_wake`] and [`Membership::receive_message`] for
 /// each message; carry out the [`MembershipAction`]s it appends.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(crate) settings: MembershipSettings,
-    pub(crate) me: Rumour,
+    pub(crate) me: MembershipUpdate,
     pub(crate) my_key: MemberKey,
     pub(crate) members: Members,
     pub(crate) rumours: RumourQueue,
@@ -31,7 +31,7 @@
     pub(crate) next_probe_at: TimeMs,
     pub(crate) next_gossip_at: TimeMs,
     pub(crate) last_tick: TimeMs,
-    pub(crate) last_heard: Option<TimeMs>,
+    pub(crate) last_contact: Option<TimeMs>,
     pub(crate) superseded: bool,
     /// Whether the message being heard spoke wrongly of this node.
     pub(crate) refuted: bool,
@@ -52,7 +52,7 @@
 impl Membership {
     /// Starts with this node as the only member.
     pub fn new(now: TimeMs, me: Member, settings: MembershipSettings, seed: u64) -> Self {
-        let me = Rumour { member: me, state: MemberState::Alive, refutation: 0 };
+        let me = MembershipUpdate { member: me, state: MemberState::Alive, refutation: 0 };
         let mut members = Members::default();
         members.hear(now, &me);
         let my_key = members.key(me.member.node()).unwrap_or_default();
@@ -69,7 +69,7 @@
             next_probe_at: now,
             next_gossip_at: now,
             last_tick: now,
-            last_heard: None,
+            last_contact: None,
             superseded: false,
             refuted: false,
             seeds: Vec::new(),
@@ -125,8 +125,8 @@
     }
 
     /// When a message of another node last came in.
-    pub fn last_heard(&self) -> Option<TimeMs> {
-        self.last_heard
+    pub fn last_contact(&self) -> Option<TimeMs> {
+        self.last_contact
     }
 
     /// Whether a later start of this node has replaced it.
@@ -145,13 +145,13 @@
 /// What this node says of itself.
 impl Membership {
     /// Tells everybody that this node will stop soon.
-    pub fn leave_soon(&mut self, now: TimeMs) {
+    pub fn announce_leaving(&mut self, now: TimeMs) {
         self.me.member.phase = MemberPhase::Leaving;
         self.restate(now);
     }
 
     /// Tells some members that this node stops now; the driver then stops it.
-    pub fn left(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
+    pub fn leave(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
         self.me.state = MemberState::Left;
         self.restate(now);
         let told = self.some_others(self.settings.indirect_probes, None);
@@ -183,9 +183,9 @@
     }
 
     /// Rumours for one message, and what is believed of the receiver if it should refute it.
-    pub(crate) fn rumours_for(&mut self, receiver: Option<MemberKey>) -> Vec<Rumour> {
+    pub(crate) fn rumours_for(&mut self, receiver: Option<MemberKey>) -> Vec<MembershipUpdate> {
         let members = self.members.iter().count();
-        let mut keys = self.rumours.take(self.settings.rumours_per_message, members);
+        let mut keys = self.rumours.take(self.settings.updates_per_message, members);
         if let Some(key) = receiver.filter(|key| self.should_refute(*key) && !keys.contains(key)) {
             keys.push(key);
         }
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -1,8 +1,8 @@
 //! The state machine that drivers use.
 
 mod action;
-mod hearing;
 mod membership;
+mod receiving;
 mod ticking;
 
 pub use action::MembershipAction;
--- a/crates/membership/src/detector/hearing.rs
+++ b/crates/membership/src/detector/receiving.rs
@@ -2,7 +2,7 @@
 
 use crate::detector::membership::Relayed;
 use crate::detector::{Membership, MembershipAction};
-use crate::member::{MemberState, Rumour};
+use crate::member::{MemberState, MembershipUpdate};
 use crate::message::{Message, Probe};
 use crate::table::{Heard, MemberKey};
 
@@ -14,20 +14,20 @@
     /// Takes a message that came from `from`, the name in its certificate.
     ///
     /// What a message says of its own sender counts only if the names agree.
-    pub fn hear(
+    pub fn receive_message(
         &mut self,
         now: TimeMs,
         from: &NodeName,
         message: Message,
         out: &mut Vec<MembershipAction>,
     ) {
-        self.last_heard = Some(now);
+        self.last_contact = Some(now);
         let sender = message.sender().filter(|me| me.member.node() == from);
         if sender.is_some_and(|sender| self.tell_superseded(sender, out)) {
             return;
         }
         let is_news = !matches!(message, Message::Members { .. });
-        for rumour in sender.into_iter().chain(message.rumours()) {
+        for rumour in sender.into_iter().chain(message.updates()) {
             self.take_rumour(now, rumour, is_news, out);
         }
         let Some(key) = self.members.key(from) else { return };
@@ -45,7 +45,12 @@
     }
 
     /// Tells membership of a member that was learnt of elsewhere, such as from the VM list.
-    pub fn hear_rumour(&mut self, now: TimeMs, rumour: &Rumour, out: &mut Vec<MembershipAction>) {
+    pub fn apply_update(
+        &mut self,
+        now: TimeMs,
+        rumour: &MembershipUpdate,
+        out: &mut Vec<MembershipAction>,
+    ) {
         self.take_rumour(now, rumour, true, out);
     }
 
@@ -56,7 +61,7 @@
     fn take_rumour(
         &mut self,
         now: TimeMs,
-        rumour: &Rumour,
+        rumour: &MembershipUpdate,
         is_news: bool,
         out: &mut Vec<MembershipAction>,
     ) {
@@ -78,7 +83,7 @@
     /// Tells a sender that a later start of its node is known.
     ///
     /// Answers to it would go to its successor's address, so it is told at its own.
-    fn tell_superseded(&self, sender: &Rumour, out: &mut Vec<MembershipAction>) -> bool {
+    fn tell_superseded(&self, sender: &MembershipUpdate, out: &mut Vec<MembershipAction>) -> bool {
         let Some(known) = self.members.find(sender.member.node()) else { return false };
         let known = &known.rumour;
         if known.member.incarnation.boot <= sender.member.incarnation.boot {
@@ -95,7 +100,12 @@
     /// successor under the same name. It shows as two nodes answering for one name. The guard
     /// holds since a successor has a later boot, which overrides this node's word everywhere, and
     /// every probe of this node is answered with it.
-    fn hear_of_myself(&mut self, now: TimeMs, rumour: &Rumour, out: &mut Vec<MembershipAction>) {
+    fn hear_of_myself(
+        &mut self,
+        now: TimeMs,
+        rumour: &MembershipUpdate,
+        out: &mut Vec<MembershipAction>,
+    ) {
         let by = &rumour.member.incarnation;
         if by.boot > self.me.member.incarnation.boot {
             self.superseded = true;
@@ -150,7 +160,7 @@
     }
 
     fn welcome(&mut self, joiner: MemberKey, out: &mut Vec<MembershipAction>) {
-        let all: Vec<Rumour> =
+        let all: Vec<MembershipUpdate> =
             self.members.iter().map(|(_, record)| record.rumour.clone()).collect();
         for part in all.chunks(MEMBERS_PER_PART) {
             self.send_to(joiner, Message::Members { rumours: part.to_vec() }, out);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -42,6 +42,6 @@
 mod table;
 
 pub use detector::{Membership, MembershipAction};
-pub use member::{Member, MemberPhase, MemberState, Rumour};
+pub use member::{Member, MemberPhase, MemberState, MembershipUpdate};
 pub use message::{Message, Probe};
 pub use settings::MembershipSettings;
--- a/crates/membership/src/member/mod.rs
+++ b/crates/membership/src/member/mod.rs
@@ -1,9 +1,9 @@
 //! A member, its state, and a rumour of both.
 
 mod identity;
-mod rumour;
 mod state;
+mod update;
 
 pub use identity::{Member, MemberPhase};
-pub use rumour::Rumour;
 pub use state::MemberState;
+pub use update::MembershipUpdate;
--- a/crates/membership/src/member/rumour.rs
+++ b/crates/membership/src/member/update.rs
@@ -7,7 +7,7 @@
     /// What one node says of a member.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
-    pub struct Rumour {
+    pub struct MembershipUpdate {
         /// The member as it described itself.
         pub member: Member,
         /// What is believed of it.
@@ -17,7 +17,7 @@
     }
 }
 
-impl Rumour {
+impl MembershipUpdate {
     /// What decides between two rumours of the same node: the greater one holds.
     ///
     /// A later boot goes before an earlier one, since a process never returns after its
--- a/crates/membership/src/message/wire.rs
+++ b/crates/membership/src/message/wire.rs
@@ -1,7 +1,7 @@
 use celeryhaven_derives::{data, number};
 use celeryhaven_types::NodeName;
 
-use crate::member::Rumour;
+use crate::member::MembershipUpdate;
 
 number! {
     /// Matches an answer to a probe of the same sender.
@@ -17,16 +17,16 @@
             /// Named in the answer.
             probe: Probe,
             /// The sender, so that a receiver that does not know it yet can answer.
-            me: Rumour,
+            me: MembershipUpdate,
             /// What the sender passes on.
-            rumours: Vec<Rumour>,
+            rumours: Vec<MembershipUpdate>,
         },
         /// Answers a ping, or says that a node asked about has answered one.
         Ack {
             /// As in the ping.
             probe: Probe,
             /// What the sender passes on.
-            rumours: Vec<Rumour>,
+            rumours: Vec<MembershipUpdate>,
         },
         /// Asks the receiver to ping another node for the sender.
         PingFor {
@@ -38,24 +38,24 @@
         /// News that cannot wait for the next ping; not answered.
         Gossip {
             /// What the sender passes on.
-            rumours: Vec<Rumour>,
+            rumours: Vec<MembershipUpdate>,
         },
         /// A fresh node asks for everybody; answered by [`Message::Members`].
         Join {
             /// The fresh node.
-            me: Rumour,
+            me: MembershipUpdate,
         },
         /// Everybody the sender knows, in parts that fit a message.
         Members {
             /// One part.
-            rumours: Vec<Rumour>,
+            rumours: Vec<MembershipUpdate>,
         },
     }
 }
 
 impl Message {
     /// The rumours it carries.
-    pub fn rumours(&self) -> &[Rumour] {
+    pub fn updates(&self) -> &[MembershipUpdate] {
         match self {
             Self::Ping { rumours, .. }
             | Self::Ack { rumours, .. }
@@ -66,7 +66,7 @@
     }
 
     /// What the sender says of itself, if it does.
-    pub fn sender(&self) -> Option<&Rumour> {
+    pub fn sender(&self) -> Option<&MembershipUpdate> {
         match self {
             Self::Ping { me, .. } | Self::Join { me } => Some(me),
             Self::Ack { .. }
--- a/crates/membership/src/settings/membership_settings.rs
+++ b/crates/membership/src/settings/membership_settings.rs
@@ -20,7 +20,7 @@
         /// Members that fresh news is sent to at once, beside what probes carry.
         pub gossip_fanout: usize,
         /// Rumours in one message at most; bounds the message to one datagram.
-        pub rumours_per_message: usize,
+        pub updates_per_message: usize,
         /// A gap between two ticks after which the node takes itself for the one that was away.
         pub own_pause_ms: u64,
     }
@@ -36,7 +36,7 @@
             remember_dead_ms: 600_000,
             gossip_interval_ms: 200,
             gossip_fanout: 2,
-            rumours_per_message: 8,
+            updates_per_message: 8,
             own_pause_ms: 1_500,
         }
     }
--- a/crates/membership/src/table/members.rs
+++ b/crates/membership/src/table/members.rs
@@ -3,7 +3,7 @@
 use celeryhaven_types::{NodeName, TimeMs};
 use slotmap::SlotMap;
 
-use crate::member::{MemberState, Rumour};
+use crate::member::{MemberState, MembershipUpdate};
 use crate::table::{MemberKey, Record};
 
 /// What a rumour did to the table.
@@ -41,7 +41,7 @@
     }
 
     /// Takes a rumour if it overrides what is known.
-    pub(crate) fn hear(&mut self, now: TimeMs, rumour: &Rumour) -> Heard {
+    pub(crate) fn hear(&mut self, now: TimeMs, rumour: &MembershipUpdate) -> Heard {
         let Some(key) = self.key(rumour.member.node()) else {
             return self.insert(now, rumour);
         };
@@ -69,7 +69,7 @@
         self.by_name.retain(|_, key| records.contains_key(*key));
     }
 
-    fn insert(&mut self, now: TimeMs, rumour: &Rumour) -> Heard {
+    fn insert(&mut self, now: TimeMs, rumour: &MembershipUpdate) -> Heard {
         let key = self.records.insert(Record { rumour: rumour.clone(), since: now });
         self.by_name.insert(rumour.member.node().clone(), key);
         Heard::Changed(key)
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -115,7 +115,7 @@
             let message: Message = postcard::from_bytes(&bytes).expect("what was sent");
             let mut out = Vec::new();
             let sender = self.nodes[from].me().node().clone();
-            self.nodes[to].hear(TimeMs::new(self.now), &sender, message, &mut out);
+            self.nodes[to].receive_message(TimeMs::new(self.now), &sender, message, &mut out);
             self.carry_out(to, out);
         }
     }
--- a/crates/membership/tests/failures.rs
+++ b/crates/membership/tests/failures.rs
@@ -140,13 +140,13 @@
     let mut network = settled(12, 1);
     let mut out = Vec::new();
     let now = celeryhaven_types::TimeMs::new(network.now);
-    network.nodes[6].leave_soon(now);
+    network.nodes[6].announce_leaving(now);
     network.run_ms(5_000);
     for node in &network.nodes {
         let (member, _) = node.find(&name(6)).expect("a member");
         assert_eq!(member.phase, celeryhaven_membership::MemberPhase::Leaving);
     }
     let now = celeryhaven_types::TimeMs::new(network.now);
-    network.nodes[6].left(now, &mut out);
+    network.nodes[6].leave(now, &mut out);
     assert!(!out.is_empty());
 }
--- a/crates/node/src/entry/fleet/hearing.rs
+++ b/crates/node/src/entry/fleet/hearing.rs
@@ -31,7 +31,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         let mut actions = Vec::new();
-        self.fleet.membership.hear(now, from, message, &mut actions);
+        self.fleet.membership.receive_message(now, from, message, &mut actions);
         self.apply_membership(now, actions, out);
     }
 
@@ -43,7 +43,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         let mut actions = Vec::new();
-        self.fleet.spread.hear(now, from, message, &mut actions);
+        self.fleet.spread.receive_message(now, from, message, &mut actions);
         self.apply_spread(now, actions, out);
     }
 
@@ -72,7 +72,7 @@
     /// Judged at every event, so a node that is cut off stops at its next tick after `vouch_ms`,
     /// and a request that arrives in between is judged too.
     pub(crate) fn judge_vouch(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
-        let is_vouched = self.fleet.spread.vouch(now).is_given();
+        let is_vouched = self.fleet.spread.confirmation(now).allows_serving();
         if std::mem::replace(&mut self.fleet.is_vouched, is_vouched) == is_vouched {
             return;
         }
@@ -147,7 +147,7 @@
         if changed.config
             && let Some(config) = self.catalogue.config()
         {
-            let version = self.fleet.spread.vouched_version();
+            let version = self.fleet.spread.confirmed_object_version();
             self.fleet.reporter.in_force(version, config.number);
             let organisations = config.intent.organisations.clone();
             self.ask(now, PolicyEvent::Organisations { organisations: &organisations }, out);
--- a/crates/node/src/entry/fleet/relays.rs
+++ b/crates/node/src/entry/fleet/relays.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use celeryhaven_membership::{Member, MemberState, Membership};
-use celeryhaven_spread::{SpreadPeer, Surroundings};
+use celeryhaven_spread::{FleetView, SpreadPeer};
 use celeryhaven_types::{DataCentreName, NodeName};
 
 use crate::entry::rank::rank;
@@ -14,17 +14,17 @@
 const ROLE: &str = "relay";
 
 /// What membership says of the fleet, as the spread wants it.
-pub(crate) fn surroundings(membership: &Membership) -> Surroundings {
+pub(crate) fn surroundings(membership: &Membership) -> FleetView {
     let relays = relays(membership);
     let me = membership.me();
     let others = membership.live().filter(|member| member.node() != me.node());
     let peers = others.map(|member| SpreadPeer {
         node: member.node().clone(),
-        is_near: member.data_centre == me.data_centre,
+        in_same_data_centre: member.data_centre == me.data_centre,
         is_relay: relays.contains(member.node()),
     });
     let (answering, known) = membership.answering_and_known();
-    Surroundings { peers: peers.collect(), is_relay: relays.contains(me.node()), answering, known }
+    FleetView { peers: peers.collect(), is_relay: relays.contains(me.node()), answering, known }
 }
 
 /// Whether this node is the one of its data centre that reports for it.
--- a/crates/node/src/entry/fleet/reporting.rs
+++ b/crates/node/src/entry/fleet/reporting.rs
@@ -120,7 +120,10 @@
         DataCentreStatus {
             data_centre: here.clone(),
             node: self.settings.incarnation.node.clone(),
-            config_number: self.fleet.reporter.number(self.fleet.spread.lowest_near()),
+            config_number: self
+                .fleet
+                .reporter
+                .number(self.fleet.spread.lowest_data_centre_version()),
             entries_alive: u32::try_from(alive.count()).unwrap_or(u32::MAX),
             at_unix_ms: self.settings.unix_at_clock_zero_ms.saturating_add(now.get()),
         }
--- a/crates/node/src/entry/fleet/state.rs
+++ b/crates/node/src/entry/fleet/state.rs
@@ -29,7 +29,7 @@
         let mut spread_settings = settings.spread;
         if seeds.is_empty() {
             // A fleet of one has nobody to wait for.
-            spread_settings.alone_ms = 0;
+            spread_settings.startup_wait_ms = 0;
         }
         let prefixes = vec![ObjectKey::new(CONFIG_PREFIX), ObjectKey::new(PLACEMENT_PREFIX)];
         let [one, two] = [0, 8].map(|at| part(seed, at));
@@ -48,7 +48,7 @@
     /// Notes when the process began, at its first event.
     pub(crate) fn begin(&mut self, now: TimeMs) {
         if !std::mem::replace(&mut self.has_begun, true) {
-            self.spread.begin(now);
+            self.spread.set_start_time(now);
             self.reporter.begin(now);
             self.surround();
         }
@@ -56,7 +56,7 @@
 
     /// Gives membership's view to the spread.
     pub(crate) fn surround(&mut self) {
-        self.spread.set_surroundings(surroundings(&self.membership));
+        self.spread.set_fleet_view(surroundings(&self.membership));
         self.reporter.set_reporting(is_reporter(&self.membership));
     }
 
--- a/crates/node/src/entry/leaving.rs
+++ b/crates/node/src/entry/leaving.rs
@@ -15,7 +15,7 @@
     pub(crate) fn leave(&mut self, now: TimeMs) {
         if self.leaving_since.is_none() {
             self.leaving_since = Some(now);
-            self.fleet.membership.leave_soon(now);
+            self.fleet.membership.announce_leaving(now);
         }
     }
 
@@ -45,7 +45,7 @@
         if self.requests.len() == 0 {
             self.has_left = true;
             let mut actions = Vec::new();
-            self.fleet.membership.left(now, &mut actions);
+            self.fleet.membership.leave(now, &mut actions);
             self.apply_membership(now, actions, out);
             out.push(EntryAction::Left);
         }
--- a/crates/node/src/entry/watching.rs
+++ b/crates/node/src/entry/watching.rs
@@ -14,7 +14,7 @@
 
     /// The process has woken from a pause: reads everything anew, and routes nothing before.
     pub(crate) fn woke(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
-        self.fleet.spread.woke(now);
+        self.fleet.spread.resume(now);
         self.vm_list_due_at = now;
         self.judge_vouch(now, out);
         self.announce_all(now, out);
--- a/crates/spread/examples/cut_off_node.rs
+++ b/crates/spread/examples/cut_off_node.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use celeryhaven_spread::{
-    Spread, SpreadAction, SpreadMessage, SpreadPeer, SpreadSettings, Surroundings, Vouch,
+    Confirmation, FleetView, Spread, SpreadAction, SpreadMessage, SpreadPeer, SpreadSettings,
 };
 use celeryhaven_types::store::{Object, ObjectChange, ObjectKey, ObjectVersion};
 use celeryhaven_types::store::{StoreReply, StoreRequest};
@@ -34,16 +34,16 @@
     let others = (0..NODES).filter(|other| *other != index);
     let peers = others.map(|other| SpreadPeer {
         node: name(other),
-        is_near: true,
+        in_same_data_centre: true,
         is_relay: other == RELAY,
     });
-    let surroundings = Surroundings {
+    let fleet_view = FleetView {
         peers: peers.collect(),
         is_relay: index == RELAY,
         answering: NODES,
         known: NODES,
     };
-    spread.set_surroundings(surroundings);
+    spread.set_fleet_view(fleet_view);
     spread
 }
 
@@ -145,7 +145,7 @@
                 continue;
             }
             let mut actions = Vec::new();
-            self.nodes[to].hear(now, &name(from), message, &mut actions);
+            self.nodes[to].receive_message(now, &name(from), message, &mut actions);
             self.carry_out(to, actions);
         }
         for index in 0..NODES {
@@ -163,7 +163,7 @@
         OneObject { version: ObjectVersion::new(1), value: "\"first\"".into(), watch: None };
     let nodes = (0..NODES).map(node).collect();
     let mut fleet = Fleet { now_ms: START_MS, nodes, store, messages: VecDeque::new() };
-    let mut vouched = [Vouch::Withheld; NODES];
+    let mut vouched = [Confirmation::Withheld; NODES];
     for now_ms in (START_MS..END_MS).step_by(STEP_MS) {
         fleet.now_ms = now_ms;
         if let Some((_, value)) = WRITES.iter().find(|(at_ms, _)| *at_ms == now_ms) {
@@ -175,7 +175,7 @@
         }
         fleet.step();
         for (index, before) in vouched.iter_mut().enumerate() {
-            let vouch = fleet.nodes[index].vouch(fleet.now());
+            let vouch = fleet.nodes[index].confirmation(fleet.now());
             if std::mem::replace(before, vouch) != vouch {
                 println!("{now_ms:>6} ms: entry-{index} vouches: {vouch:?}");
             }
--- a/crates/spread/src/shelf/held.rs
+++ b/crates/spread/src/cache/object_cache.rs
@@ -18,18 +18,18 @@
 ///
 /// Failure: watches replay, reads are old, peers are behind, and a node that takes whatever comes
 /// last goes back to an earlier configuration. It shows as a setting that returns for seconds. The
-/// guard holds since [`Shelf::offer`] is the only way in, and takes nothing at or below the
+/// guard holds since [`ObjectCache::apply`] is the only way in, and takes nothing at or below the
 /// version held; a deleted object keeps its version for the same reason.
 #[derive(Clone, Debug, Default)]
-pub struct Shelf {
+pub struct ObjectCache {
     held: BTreeMap<ObjectKey, Held>,
     fingerprint: u64,
 }
 
 /// Changing.
-impl Shelf {
+impl ObjectCache {
     /// Takes a change if it is newer than what is held; says whether it was.
-    pub fn offer(&mut self, change: &ObjectChange) -> bool {
+    pub fn apply(&mut self, change: &ObjectChange) -> bool {
         let before = self.version(&change.key);
         if before.is_some_and(|held| held >= change.version) {
             return false;
@@ -45,7 +45,7 @@
 }
 
 /// Reading.
-impl Shelf {
+impl ObjectCache {
     /// The value of an object that is held and not deleted.
     pub fn value(&self, key: &ObjectKey) -> Option<&str> {
         self.held.get(key)?.value.as_deref()
@@ -68,7 +68,7 @@
     }
 
     /// Objects below a prefix that are not deleted, by name.
-    pub fn below(&self, prefix: &str) -> impl Iterator<Item = (&ObjectKey, &str)> {
+    pub fn with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&ObjectKey, &str)> {
         self.held
             .iter()
             .filter(move |(key, _)| key.as_str().starts_with(prefix))
--- a/crates/spread/src/evidence/vouch.rs
+++ b/crates/spread/src/evidence/confirmation.rs
@@ -3,7 +3,7 @@
 state! {
     /// Whether a node vouches that its copy of the configuration is the one in force.
     #[derive(Copy, Eq)]
-    pub enum Vouch {
+    pub enum Confirmation {
         /// The Object API held it not longer than `vouch_ms` ago.
         Confirmed,
         /// The Object API answers nobody among more than half of the nodes, so that nothing newer
@@ -14,15 +14,15 @@
     }
 }
 
-impl Vouch {
+impl Confirmation {
     /// Whether the node may take new requests.
     ///
     /// ```
-    /// use celeryhaven_spread::Vouch;
-    /// assert!(Vouch::Outage.is_given());
-    /// assert!(!Vouch::Withheld.is_given());
+    /// use celeryhaven_spread::Confirmation;
+    /// assert!(Confirmation::Outage.allows_serving());
+    /// assert!(!Confirmation::Withheld.allows_serving());
     /// ```
-    pub const fn is_given(self) -> bool {
+    pub const fn allows_serving(self) -> bool {
         !matches!(self, Self::Withheld)
     }
 }
--- a/crates/spread/src/evidence/mod.rs
+++ b/crates/spread/src/evidence/mod.rs
@@ -1,7 +1,7 @@
 //! How long a copy may be vouched for.
 
+mod confirmation;
 mod confirmed;
-mod vouch;
 
+pub use confirmation::Confirmation;
 pub(crate) use confirmed::Confirmed;
-pub use vouch::Vouch;
--- a/crates/spread/src/feed/follow.rs
+++ b/crates/spread/src/feed/follow.rs
@@ -1,7 +1,7 @@
 use celeryhaven_types::TimeMs;
 use celeryhaven_types::store::{ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 
-use crate::feed::FeedNews;
+use crate::feed::FeedUpdate;
 
 /// Longest pause after failed calls, as a multiple of the first.
 const RETRY_FACTOR_MAX: u64 = 16;
@@ -53,7 +53,7 @@
         &self.prefix
     }
 
-    /// The call to make now; [`Feed::reply`] is due for it.
+    /// The call to make now; [`Feed::apply_reply`] is due for it.
     pub fn request(&mut self, now: TimeMs, wait_ms: u64) -> StoreRequest {
         self.pending_since = Some(now);
         match self.seen {
@@ -66,26 +66,26 @@
 
     /// Takes the answer to the call that is out; the next call after a failure waits for
     /// `retry_ms`, doubled with each failure.
-    pub fn reply(&mut self, now: TimeMs, reply: StoreReply, retry_ms: u64) -> FeedNews {
-        let Some(asked_at) = self.pending_since.take() else { return FeedNews::Nothing };
+    pub fn apply_reply(&mut self, now: TimeMs, reply: StoreReply, retry_ms: u64) -> FeedUpdate {
+        let Some(sent_at) = self.pending_since.take() else { return FeedUpdate::Nothing };
         match reply {
             StoreReply::Listed { version, objects } if self.seen <= Some(version) => {
                 self.progress(now, version);
-                FeedNews::Snapshot { asked_at, version, objects }
+                FeedUpdate::Snapshot { sent_at, version, objects }
             }
             StoreReply::Changes { version, mut changes } if self.seen <= Some(version) => {
                 changes.retain(|change| Some(change.version) > self.seen);
                 self.progress(now, version);
-                FeedNews::Changes { asked_at, changes }
+                FeedUpdate::Changes { sent_at, changes }
             }
             StoreReply::TooOld => {
                 self.relist = true;
                 self.next_try_at = now;
-                FeedNews::Nothing
+                FeedUpdate::Nothing
             }
             _ => {
                 self.back_off(now, retry_ms);
-                FeedNews::Nothing
+                FeedUpdate::Nothing
             }
         }
     }
--- a/crates/spread/src/feed/mod.rs
+++ b/crates/spread/src/feed/mod.rs
@@ -1,7 +1,7 @@
 //! Following one prefix of the Object API.
 
 mod follow;
-mod news;
+mod update;
 
 pub use follow::Feed;
-pub use news::FeedNews;
+pub use update::FeedUpdate;
--- a/crates/spread/src/feed/news.rs
+++ b/crates/spread/src/feed/update.rs
@@ -4,13 +4,13 @@
 
 state! {
     /// What an answer of the Object API brought.
-    pub enum FeedNews {
+    pub enum FeedUpdate {
         /// It failed, or is from before the version already seen.
         Nothing,
         /// Every object below the prefix; those known and absent were deleted.
         Snapshot {
             /// When the call that it answers was sent.
-            asked_at: TimeMs,
+            sent_at: TimeMs,
             /// The store's version.
             version: ObjectVersion,
             /// The objects.
@@ -19,7 +19,7 @@
         /// Changes after what was known, in order; perhaps none.
         Changes {
             /// When the call that it answers was sent.
-            asked_at: TimeMs,
+            sent_at: TimeMs,
             /// The changes.
             changes: Vec<ObjectChange>,
         },
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -8,14 +8,14 @@
 //! | module | what it holds |
 //! |---|---|
 //! | [`settings`] | periods and limits |
-//! | [`shelf`] | objects with their high-water versions |
+//! | [`cache`] | objects with their high-water versions |
 //! | [`feed`] | following one prefix of the Object API |
 //! | [`evidence`] | how long a copy may be vouched for |
 //! | [`message`] | what nodes send each other |
 //! | [`machine`] | the state machine that drivers use |
 //!
 //! ```
-//! use celeryhaven_spread::Shelf;
+//! use celeryhaven_spread::ObjectCache;
 //! use celeryhaven_types::store::{ObjectChange, ObjectKey, ObjectVersion};
 //!
 //! let key = ObjectKey::new("config/current");
@@ -24,25 +24,25 @@
 //!     version: ObjectVersion::new(version),
 //!     value: Some(value.into()),
 //! };
-//! let mut shelf = Shelf::default();
-//! assert!(shelf.offer(&at(2, "new")));
-//! assert!(!shelf.offer(&at(1, "old")));
-//! assert_eq!(shelf.value(&key), Some("new"));
+//! let mut cache = ObjectCache::default();
+//! assert!(cache.apply(&at(2, "new")));
+//! assert!(!cache.apply(&at(1, "old")));
+//! assert_eq!(cache.value(&key), Some("new"));
 //! ```
 //!
 //! A whole run in virtual time, with a node that is cut off, is in `examples/cut_off_node.rs`:
 //! `cargo run -p celeryhaven-spread --example cut_off_node`.
 
+pub mod cache;
 pub mod evidence;
 pub mod feed;
 pub mod machine;
 pub mod message;
 pub mod settings;
-pub mod shelf;
 
-pub use evidence::Vouch;
-pub use feed::{Feed, FeedNews};
-pub use machine::{Spread, SpreadAction, SpreadPeer, Surroundings};
-pub use message::{Ask, SpreadMessage, Summary};
+pub use cache::ObjectCache;
+pub use evidence::Confirmation;
+pub use feed::{Feed, FeedUpdate};
+pub use machine::{FleetView, Spread, SpreadAction, SpreadPeer};
+pub use message::{QueryId, SpreadMessage, Summary};
 pub use settings::SpreadSettings;
-pub use shelf::Shelf;
--- a/crates/spread/src/machine/mod.rs
+++ b/crates/spread/src/machine/mod.rs
@@ -1,14 +1,14 @@
 //! The state machine that drivers use.
 
 mod action;
-mod hearing;
+mod fleet_view;
+mod receiving;
 mod spread;
 mod store;
-mod surroundings;
 mod ticking;
 mod wanted;
 
 pub use action::SpreadAction;
+pub use fleet_view::{FleetView, SpreadPeer};
 pub use spread::Spread;
-pub use surroundings::{SpreadPeer, Surroundings};
 pub(crate) use wanted::Wanted;
--- a/crates/spread/src/machine/hearing.rs
+++ b/crates/spread/src/machine/receiving.rs
@@ -3,7 +3,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::machine::{Spread, SpreadAction, Wanted};
-use crate::message::{Ask, SpreadMessage, Summary};
+use crate::message::{QueryId, SpreadMessage, Summary};
 
 /// Answers in a row that differ before all versions are compared: news on its way differs once.
 const DIFFERING_BEFORE_COMPARE: u64 = 2;
@@ -11,7 +11,7 @@
 /// Messages of other nodes.
 impl Spread {
     /// Takes a message of another node.
-    pub fn hear(
+    pub fn receive_message(
         &mut self,
         now: TimeMs,
         from: &NodeName,
@@ -44,7 +44,7 @@
     /// to those who ask, so a node gets it once.
     pub(crate) fn announce(&mut self, change: &ObjectChange, out: &mut Vec<SpreadAction>) {
         let (near, far): (Vec<_>, Vec<_>) =
-            self.surroundings.peers.iter().partition(|peer| peer.is_near);
+            self.fleet_view.peers.iter().partition(|peer| peer.in_same_data_centre);
         let far_count = usize::from(!far.is_empty());
         let near_count = self.settings.fanout.saturating_sub(far_count).max(1);
         let mut told = sample(&near, near_count, &mut self.rng);
@@ -61,7 +61,7 @@
         &mut self,
         now: TimeMs,
         from: &NodeName,
-        ask: Ask,
+        ask: QueryId,
         summary: Summary,
         out: &mut Vec<SpreadAction>,
     ) {
@@ -69,7 +69,7 @@
         if asked != *from {
             return;
         }
-        let own = self.vouched_version();
+        let own = self.confirmed_object_version();
         if summary.vouched <= own {
             self.agreed.insert(from.clone());
             self.has_been_told = true;
@@ -90,7 +90,7 @@
 
     /// Compares all versions with a peer whose shelf has differed for a while.
     fn repair(&mut self, from: &NodeName, summary: Summary, out: &mut Vec<SpreadAction>) {
-        if summary.fingerprint == self.shelf.fingerprint() {
+        if summary.fingerprint == self.cache.fingerprint() {
             self.differing.remove(from);
             self.is_primed |= summary.vouched != ObjectVersion::default();
             return;
@@ -99,7 +99,7 @@
         *count += 1;
         if *count >= DIFFERING_BEFORE_COMPARE || !self.is_primed {
             self.differing.remove(from);
-            let held = self.shelf.versions().map(|(key, version)| (key.clone(), version));
+            let held = self.cache.versions().map(|(key, version)| (key.clone(), version));
             send(from, SpreadMessage::Versions { held: held.collect() }, out);
         }
     }
@@ -112,7 +112,7 @@
         version: ObjectVersion,
         out: &mut Vec<SpreadAction>,
     ) {
-        let is_held = self.shelf.version(&key).is_some_and(|held| held >= version);
+        let is_held = self.cache.version(&key).is_some_and(|held| held >= version);
         if is_held {
             return;
         }
@@ -125,13 +125,13 @@
             }
             return;
         }
-        let until = now.after(self.settings.want_ms);
+        let until = now.after(self.settings.fetch_timeout_ms);
         self.wanted.insert(key.clone(), Wanted { version, until, holders: Vec::new() });
         send(from, SpreadMessage::Want { keys: vec![key] }, out);
     }
 
     fn bring(&self, to: &NodeName, keys: &[ObjectKey], out: &mut Vec<SpreadAction>) {
-        let changes: Vec<_> = keys.iter().filter_map(|key| self.shelf.change(key)).collect();
+        let changes: Vec<_> = keys.iter().filter_map(|key| self.cache.change(key)).collect();
         if !changes.is_empty() {
             send(to, SpreadMessage::Objects { changes }, out);
         }
@@ -149,7 +149,7 @@
             Some(held[place].1)
         };
         let newer_here: Vec<ObjectKey> = self
-            .shelf
+            .cache
             .versions()
             .filter(|(key, version)| theirs(key).is_none_or(|theirs| theirs < *version))
             .map(|(key, _)| key.clone())
--- a/crates/spread/src/machine/spread.rs
+++ b/crates/spread/src/machine/spread.rs
@@ -5,33 +5,33 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::evidence::{Confirmed, Vouch};
+use crate::cache::ObjectCache;
+use crate::evidence::{Confirmation, Confirmed};
 use crate::feed::Feed;
-use crate::machine::{Surroundings, Wanted};
-use crate::message::{Ask, Summary};
+use crate::machine::{FleetView, Wanted};
+use crate::message::{QueryId, Summary};
 use crate::settings::SpreadSettings;
-use crate::shelf::Shelf;
 
 /// One node's copy of the spread objects, and what it may say of them.
 ///
-/// Drive it with [`Spread::tick`] at [`Spread::next_wake`], [`Spread::hear`] for each message and
+/// Drive it with [`Spread::tick`] at [`Spread::next_wake`], [`Spread::receive_message`] for each message and
 /// [`Spread::store_reply`] for each answer of the Object API; carry out the
 /// [`SpreadAction`](super::SpreadAction)s it appends.
 #[derive(Clone, Debug)]
 pub struct Spread {
     pub(crate) settings: SpreadSettings,
-    pub(crate) shelf: Shelf,
+    pub(crate) cache: ObjectCache,
     pub(crate) vouched_key: ObjectKey,
     pub(crate) feeds: Vec<Feed>,
-    pub(crate) surroundings: Surroundings,
+    pub(crate) fleet_view: FleetView,
     pub(crate) confirmed: Confirmed,
     pub(crate) agreed: BTreeSet<NodeName>,
     pub(crate) wanted: BTreeMap<ObjectKey, Wanted>,
-    pub(crate) asked: BTreeMap<Ask, (NodeName, TimeMs)>,
+    pub(crate) asked: BTreeMap<QueryId, (NodeName, TimeMs)>,
     pub(crate) differing: BTreeMap<NodeName, u64>,
     /// Version of the vouched object at each node that has asked.
     pub(crate) held_by_others: BTreeMap<NodeName, ObjectVersion>,
-    pub(crate) next_ask: Ask,
+    pub(crate) next_ask: QueryId,
     pub(crate) next_ask_at: TimeMs,
     pub(crate) last_contact: Option<TimeMs>,
     pub(crate) started_at: TimeMs,
@@ -56,17 +56,17 @@
     ) -> Self {
         Self {
             settings,
-            shelf: Shelf::default(),
+            cache: ObjectCache::default(),
             vouched_key,
             feeds: prefixes.into_iter().map(Feed::new).collect(),
-            surroundings: Surroundings::default(),
+            fleet_view: FleetView::default(),
             confirmed: Confirmed::default(),
             agreed: BTreeSet::new(),
             wanted: BTreeMap::new(),
             asked: BTreeMap::new(),
             differing: BTreeMap::new(),
             held_by_others: BTreeMap::new(),
-            next_ask: Ask::new(1),
+            next_ask: QueryId::new(1),
             next_ask_at: now,
             last_contact: None,
             started_at: now,
@@ -80,25 +80,25 @@
 /// What is held.
 impl Spread {
     /// The objects.
-    pub const fn shelf(&self) -> &Shelf {
-        &self.shelf
+    pub const fn cache(&self) -> &ObjectCache {
+        &self.cache
     }
 
     /// What this node would tell another one now.
     pub fn summary(&self, now: TimeMs) -> Summary {
         Summary {
-            fingerprint: self.shelf.fingerprint(),
-            vouched: self.vouched_version(),
+            fingerprint: self.cache.fingerprint(),
+            vouched: self.confirmed_object_version(),
             proof_age_ms: self.confirmed.age_ms(now),
         }
     }
 
     /// The lowest version of the vouched object among the nodes of this data centre, this one
     /// included, as each said when it last asked.
-    pub fn lowest_near(&self) -> ObjectVersion {
-        let near = self.surroundings.peers.iter().filter(|peer| peer.is_near);
+    pub fn lowest_data_centre_version(&self) -> ObjectVersion {
+        let near = self.fleet_view.peers.iter().filter(|peer| peer.in_same_data_centre);
         let held = near.filter_map(|peer| self.held_by_others.get(&peer.node).copied());
-        held.fold(self.vouched_version(), ObjectVersion::min)
+        held.fold(self.confirmed_object_version(), ObjectVersion::min)
     }
 
     /// Whether this node has once held all that the Object API or another node held.
@@ -114,18 +114,18 @@
     /// the question for it was sent. The exception for an outage asks for more than half of the
     /// nodes, heard from lately; fresh evidence of any of them would have become this node's own. A
     /// minority that is cut off together does not qualify.
-    pub fn vouch(&self, now: TimeMs) -> Vouch {
-        let vouched = self.vouched_version();
+    pub fn confirmation(&self, now: TimeMs) -> Confirmation {
+        let vouched = self.confirmed_object_version();
         if vouched == ObjectVersion::default() || !self.has_met_somebody(now) {
-            return Vouch::Withheld;
+            return Confirmation::Withheld;
         }
         let age_ms = self.confirmed.age_ms(now);
         if age_ms.is_some_and(|age_ms| age_ms <= self.settings.vouch_ms) {
-            return Vouch::Confirmed;
+            return Confirmation::Confirmed;
         }
         match self.is_outage_for_all(now) {
-            true => Vouch::Outage,
-            false => Vouch::Withheld,
+            true => Confirmation::Outage,
+            false => Confirmation::Withheld,
         }
     }
 
@@ -142,16 +142,16 @@
 /// What surrounds the node.
 impl Spread {
     /// Notes when the process began, for a node that is made before its clock is read.
-    pub fn begin(&mut self, now: TimeMs) {
+    pub fn set_start_time(&mut self, now: TimeMs) {
         self.started_at = now;
         self.next_ask_at = now;
     }
 
     /// Takes membership's view; call it whenever that changes.
-    pub fn set_surroundings(&mut self, surroundings: Surroundings) {
-        let had_nobody = self.surroundings.peers.is_empty();
-        self.surroundings = surroundings;
-        let peers = &self.surroundings.peers;
+    pub fn set_fleet_view(&mut self, fleet_view: FleetView) {
+        let had_nobody = self.fleet_view.peers.is_empty();
+        self.fleet_view = fleet_view;
+        let peers = &self.fleet_view.peers;
         self.held_by_others.retain(|node, _| peers.iter().any(|peer| peer.node == *node));
         if had_nobody && !self.has_been_told {
             // The first question waited for somebody to ask.
@@ -160,7 +160,7 @@
     }
 
     /// Forgets all evidence: the process was away and knows nothing of the time between.
-    pub fn woke(&mut self, now: TimeMs) {
+    pub fn resume(&mut self, now: TimeMs) {
         self.confirmed.forget();
         self.agreed.clear();
         self.asked.clear();
@@ -173,8 +173,8 @@
 /// Judging.
 impl Spread {
     /// Version of the vouched object held here; zero if none.
-    pub fn vouched_version(&self) -> ObjectVersion {
-        self.shelf.version(&self.vouched_key).unwrap_or_default()
+    pub fn confirmed_object_version(&self) -> ObjectVersion {
+        self.cache.version(&self.vouched_key).unwrap_or_default()
     }
 
     /// Whether another node has said what it holds, unless there is none.
@@ -182,16 +182,16 @@
     /// Failure: a fresh relay gets an old read from the Object API and takes it for current. The
     /// first word of any peer that is ahead corrects it, so it waits for one.
     fn has_met_somebody(&self, now: TimeMs) -> bool {
-        let is_alone = self.surroundings.peers.is_empty();
-        let has_waited = now.since(self.started_at) >= self.settings.alone_ms;
+        let is_alone = self.fleet_view.peers.is_empty();
+        let has_waited = now.since(self.started_at) >= self.settings.startup_wait_ms;
         self.has_been_told || (is_alone && has_waited)
     }
 
     fn is_outage_for_all(&self, now: TimeMs) -> bool {
-        let in_contact = |at: TimeMs| now.since(at) <= self.settings.contact_ms;
-        let others = self.surroundings.known.saturating_sub(1);
+        let in_contact = |at: TimeMs| now.since(at) <= self.settings.contact_timeout_ms;
+        let others = self.fleet_view.known.saturating_sub(1);
         let enough = self.settings.confirmations.min(others);
-        self.surroundings.is_majority()
+        self.fleet_view.is_majority()
             && self.agreed.len() >= enough
             && (others == 0 || self.last_contact.is_some_and(in_contact))
     }
--- a/crates/spread/src/machine/store.rs
+++ b/crates/spread/src/machine/store.rs
@@ -2,7 +2,7 @@
 use celeryhaven_types::store::{Object, ObjectChange, ObjectKey, ObjectVersion, StoreReply};
 use rand::Rng;
 
-use crate::feed::{Feed, FeedNews};
+use crate::feed::{Feed, FeedUpdate};
 use crate::machine::{Spread, SpreadAction};
 
 /// Following the Object API.
@@ -17,18 +17,18 @@
     ) {
         let retry_ms = self.retry_ms();
         let Some(following) = self.feeds.get_mut(feed) else { return };
-        match following.reply(now, reply, retry_ms) {
-            FeedNews::Nothing => return,
-            FeedNews::Snapshot { asked_at, version, objects } => {
+        match following.apply_reply(now, reply, retry_ms) {
+            FeedUpdate::Nothing => return,
+            FeedUpdate::Snapshot { sent_at, version, objects } => {
                 self.take_snapshot(feed, version, objects, out);
-                self.prove(feed, asked_at);
+                self.prove(feed, sent_at);
                 self.is_primed |= self.feeds.iter().all(Feed::is_primed);
             }
-            FeedNews::Changes { asked_at, changes } => {
+            FeedUpdate::Changes { sent_at, changes } => {
                 for change in changes {
                     self.take(change, out);
                 }
-                self.prove(feed, asked_at);
+                self.prove(feed, sent_at);
             }
         }
         self.read_store(now, out);
@@ -53,7 +53,7 @@
     /// the others. A node that gets no evidence through them reads for itself, lest the death of
     /// both relays take a healthy data centre out of service.
     pub(crate) fn follows_store_since(&self) -> TimeMs {
-        if self.surroundings.is_relay {
+        if self.fleet_view.is_relay {
             return TimeMs::default();
         }
         let proven_at = self.confirmed.at();
@@ -63,13 +63,13 @@
     /// A relay follows every prefix; a node that falls back reads only the vouched one.
     pub(crate) fn active_feeds(&self) -> impl Iterator<Item = usize> {
         let vouched = self.vouched_feed();
-        let is_relay = self.surroundings.is_relay;
+        let is_relay = self.fleet_view.is_relay;
         (0..self.feeds.len()).filter(move |feed| is_relay || Some(*feed) == vouched)
     }
 
     /// Takes a newer version of an object and tells others of it.
     pub(crate) fn take(&mut self, change: ObjectChange, out: &mut Vec<SpreadAction>) -> bool {
-        if !self.shelf.offer(&change) {
+        if !self.cache.apply(&change) {
             return false;
         }
         if change.key == self.vouched_key {
@@ -110,17 +110,17 @@
     ) -> Vec<ObjectKey> {
         let prefix = self.feeds[feed].prefix().as_str();
         let is_listed = |key: &ObjectKey| objects.iter().any(|object| object.key == *key);
-        self.shelf
+        self.cache
             .versions()
             .filter(|(key, held)| key.as_str().starts_with(prefix) && *held < version)
-            .filter(|(key, _)| self.shelf.value(key).is_some() && !is_listed(key))
+            .filter(|(key, _)| self.cache.value(key).is_some() && !is_listed(key))
             .map(|(key, _)| key.clone())
             .collect()
     }
 
-    fn prove(&mut self, feed: usize, asked_at: TimeMs) {
+    fn prove(&mut self, feed: usize, sent_at: TimeMs) {
         if Some(feed) == self.vouched_feed() {
-            self.confirmed.prove(asked_at);
+            self.confirmed.prove(sent_at);
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     fn retry_ms(&mut self) -> u64 {
-        let base_ms = match self.surroundings.is_relay {
+        let base_ms = match self.fleet_view.is_relay {
             true => self.settings.relay_retry_ms,
             false => self.settings.fallback_retry_ms,
         };
--- a/crates/spread/src/machine/ticking.rs
+++ b/crates/spread/src/machine/ticking.rs
@@ -22,12 +22,13 @@
         }
         // A fresh node serves nobody until it is told: a lost message must not cost it a period.
         let hurry = if self.has_been_told { 1 } else { FIRST_ASK_HURRY };
-        let period_ms = self.settings.ask_period_ms / hurry;
+        let period_ms = self.settings.query_period_ms / hurry;
         // A jitter of a tenth keeps 340 nodes that started together from asking together.
         let jitter_ms = self.rng.random_range(0..=period_ms / 10);
         self.next_ask_at = now.after(period_ms - period_ms / 20 + jitter_ms);
-        self.asked
-            .retain(|_, (_, at)| now.since(*at) <= ASK_LIFE_PERIODS * self.settings.ask_period_ms);
+        self.asked.retain(|_, (_, at)| {
+            now.since(*at) <= ASK_LIFE_PERIODS * self.settings.query_period_ms
+        });
         for peer in self.whom_to_ask(now) {
             self.ask(now, peer, out);
         }
@@ -37,10 +38,11 @@
     ///
     /// A node whose evidence grows old asks one more at random: its relays may be dead or cut off.
     fn whom_to_ask(&mut self, now: TimeMs) -> Vec<NodeName> {
-        let peers = &self.surroundings.peers;
-        let relays: Vec<_> = peers.iter().filter(|peer| peer.is_near && peer.is_relay).collect();
+        let peers = &self.fleet_view.peers;
+        let relays: Vec<_> =
+            peers.iter().filter(|peer| peer.in_same_data_centre && peer.is_relay).collect();
         let any: Vec<_> = peers.iter().collect();
-        let usual = if self.surroundings.is_relay || relays.is_empty() { &any } else { &relays };
+        let usual = if self.fleet_view.is_relay || relays.is_empty() { &any } else { &relays };
         let age_ms = self.confirmed.age_ms(now);
         let is_old = age_ms.is_none_or(|age_ms| age_ms > self.settings.fallback_ms);
         let mut chosen: Vec<NodeName> =
@@ -57,7 +59,7 @@
     /// a third; asking at random it did not find one before its evidence ran out, and stopped
     /// serving for seconds. Asking those who are missing finds them in one period.
     fn whom_to_confirm(&mut self, chosen: &[NodeName]) -> Vec<NodeName> {
-        let peers = self.surroundings.peers.iter().map(|peer| &peer.node);
+        let peers = self.fleet_view.peers.iter().map(|peer| &peer.node);
         let (missing, agreed): (Vec<_>, Vec<_>) = peers
             .filter(|node| !chosen.contains(node))
             .partition(|node| !self.agreed.contains(*node));
@@ -69,13 +71,13 @@
 
     /// Asks another holder for what has not come: the question or the answer was lost.
     fn want_elsewhere(&mut self, now: TimeMs, out: &mut Vec<SpreadAction>) {
-        let want_ms = self.settings.want_ms;
+        let fetch_timeout_ms = self.settings.fetch_timeout_ms;
         self.wanted.retain(|key, wanted| {
             if now < wanted.until {
                 return true;
             }
             let Some(holder) = wanted.holders.pop() else { return false };
-            wanted.until = now.after(want_ms);
+            wanted.until = now.after(fetch_timeout_ms);
             let message = SpreadMessage::Want { keys: vec![key.clone()] };
             out.push(SpreadAction::Send { to: holder, message });
             true
@@ -88,7 +90,7 @@
         self.asked.insert(ask, (peer.clone(), now));
         out.push(SpreadAction::Send {
             to: peer,
-            message: SpreadMessage::Ask { ask, vouched: self.vouched_version() },
+            message: SpreadMessage::Ask { ask, vouched: self.confirmed_object_version() },
         });
     }
 }
--- a/crates/spread/src/message/mod.rs
+++ b/crates/spread/src/message/mod.rs
@@ -2,4 +2,4 @@
 
 mod wire;
 
-pub use wire::{Ask, SpreadMessage, Summary};
+pub use wire::{QueryId, SpreadMessage, Summary};
--- a/crates/spread/src/message/wire.rs
+++ b/crates/spread/src/message/wire.rs
@@ -3,7 +3,7 @@
 
 number! {
     /// Matches a [`SpreadMessage::Tell`] to the question of the same node.
-    Ask(u64)
+    QueryId(u64)
 }
 
 data! {
@@ -25,14 +25,14 @@
         /// Asks what the receiver holds.
         Ask {
             /// Named in the answer.
-            ask: Ask,
+            ask: QueryId,
             /// Version of the vouched object that the sender holds; zero if none.
             vouched: ObjectVersion,
         },
         /// Says what the sender holds.
         Tell {
             /// As in the question.
-            ask: Ask,
+            ask: QueryId,
             /// What it holds.
             summary: Summary,
         },
--- a/crates/spread/src/settings/spread_settings.rs
+++ b/crates/spread/src/settings/spread_settings.rs
@@ -5,7 +5,7 @@
     #[derive(Copy, Eq)]
     pub struct SpreadSettings {
         /// How often a node asks another one what it holds.
-        pub ask_period_ms: u64,
+        pub query_period_ms: u64,
         /// How long a watch waits at the Object API; a relay's evidence is at most twice as old.
         pub watch_wait_ms: u64,
         /// Age of the newest evidence at which a node stops vouching for its copy.
@@ -19,11 +19,11 @@
         /// Nodes told at once of a new version.
         pub fanout: usize,
         /// Time after which a wanted object is asked of another node.
-        pub want_ms: u64,
+        pub fetch_timeout_ms: u64,
         /// Time in which a node must have heard another one to take an outage for everybody's.
-        pub contact_ms: u64,
+        pub contact_timeout_ms: u64,
         /// Time after a start in which a node that knows no other waits for one.
-        pub alone_ms: u64,
+        pub startup_wait_ms: u64,
         /// Other nodes that must hold nothing newer before a node vouches during an outage.
         pub confirmations: usize,
     }
@@ -32,16 +32,16 @@
 impl Default for SpreadSettings {
     fn default() -> Self {
         Self {
-            ask_period_ms: 1_000,
+            query_period_ms: 1_000,
             watch_wait_ms: 1_000,
             vouch_ms: 6_000,
             fallback_ms: 3_500,
             relay_retry_ms: 250,
             fallback_retry_ms: 2_000,
             fanout: 3,
-            want_ms: 250,
-            contact_ms: 3_000,
-            alone_ms: 3_000,
+            fetch_timeout_ms: 250,
+            contact_timeout_ms: 3_000,
+            startup_wait_ms: 3_000,
             confirmations: 3,
         }
     }
--- a/crates/spread/src/shelf/mod.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! Objects with their high-water versions.
-
-mod held;
-
-pub use held::Shelf;
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use celeryhaven_spread::{
-    Spread, SpreadAction, SpreadMessage, SpreadPeer, SpreadSettings, Surroundings, Vouch,
+    Confirmation, FleetView, Spread, SpreadAction, SpreadMessage, SpreadPeer, SpreadSettings,
 };
 use celeryhaven_types::store::{ObjectKey, StoreReply, StoreRequest};
 use celeryhaven_types::{NodeName, TimeMs};
@@ -115,12 +115,12 @@
         self.regrouped_at = Some(self.now + self.membership_lag_ms);
     }
 
-    pub fn vouch(&self, index: usize) -> Vouch {
-        self.nodes[index].vouch(TimeMs::new(self.now))
+    pub fn confirmation(&self, index: usize) -> Confirmation {
+        self.nodes[index].confirmation(TimeMs::new(self.now))
     }
 
     pub fn value(&self, index: usize) -> Option<String> {
-        self.nodes[index].shelf().value(&ObjectKey::new(KEY)).map(str::to_owned)
+        self.nodes[index].cache().value(&ObjectKey::new(KEY)).map(str::to_owned)
     }
 
     /// Tells every node who is live and who relays, as membership would.
@@ -139,14 +139,14 @@
             let peers = (0..count).filter(|other| *other != index).filter(reach);
             let peers = peers.map(|other| SpreadPeer {
                 node: name(other),
-                is_near: other % self.data_centres == mine,
+                in_same_data_centre: other % self.data_centres == mine,
                 is_relay: relays.contains(&other),
             });
             let peers: Vec<_> = peers.collect();
             let answering = peers.len() + 1;
             let is_relay = relays.contains(&index);
-            let surroundings = Surroundings { peers, is_relay, answering, known: count };
-            self.nodes[index].set_surroundings(surroundings);
+            let fleet_view = FleetView { peers, is_relay, answering, known: count };
+            self.nodes[index].set_fleet_view(fleet_view);
         }
     }
 
@@ -210,7 +210,7 @@
         }
         let message: SpreadMessage = postcard::from_bytes(bytes).expect("what was sent");
         let mut out = Vec::new();
-        self.nodes[to].hear(TimeMs::new(self.now), &name(from), message, &mut out);
+        self.nodes[to].receive_message(TimeMs::new(self.now), &name(from), message, &mut out);
         self.carry_out(to, out);
     }
 
--- a/crates/spread/tests/in_force.rs
+++ b/crates/spread/tests/in_force.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use celeryhaven_spread::Vouch;
+use celeryhaven_spread::Confirmation;
 use common::{KEY, World};
 
 const SEEDS: std::ops::Range<u64> = 0..20;
@@ -20,7 +20,7 @@
     world.run_ms(10_000);
     for node in 0..count {
         assert_eq!(world.value(node).as_deref(), Some("first"), "seed {seed}: node {node}");
-        assert_eq!(world.vouch(node), Vouch::Confirmed, "seed {seed}: node {node}");
+        assert_eq!(world.confirmation(node), Confirmation::Confirmed, "seed {seed}: node {node}");
     }
     world
 }
@@ -93,9 +93,12 @@
         for _ in 0..300 {
             world.run_ms(20);
             let is_old = world.value(0).as_deref() != Some("new");
-            assert!(!(is_old && world.vouch(0).is_given()), "seed {seed}: vouches for an old read");
+            assert!(
+                !(is_old && world.confirmation(0).allows_serving()),
+                "seed {seed}: vouches for an old read"
+            );
         }
-        assert!(world.vouch(0).is_given(), "seed {seed}");
+        assert!(world.confirmation(0).allows_serving(), "seed {seed}");
         assert_eq!(world.reverted, 0, "seed {seed}");
     }
 }
@@ -110,12 +113,12 @@
         world.regroup([cut], 1);
         world.run_ms(CUT_OFF_MS);
         world.store.write(KEY, "unseen");
-        assert_eq!(world.vouch(cut), Vouch::Withheld, "seed {seed}");
+        assert_eq!(world.confirmation(cut), Confirmation::Withheld, "seed {seed}");
         world.run_ms(60_000);
-        assert_eq!(world.vouch(cut), Vouch::Withheld, "seed {seed}");
+        assert_eq!(world.confirmation(cut), Confirmation::Withheld, "seed {seed}");
         world.regroup([cut], 0);
         world.run_ms(10_000);
-        assert_eq!(world.vouch(cut), Vouch::Confirmed, "seed {seed}");
+        assert_eq!(world.confirmation(cut), Confirmation::Confirmed, "seed {seed}");
         assert_eq!(world.value(cut).as_deref(), Some("unseen"), "seed {seed}");
     }
 }
@@ -130,7 +133,7 @@
         let cut = (seed % 8) as usize;
         world.regroup([cut], 1);
         world.run_ms(CUT_OFF_MS);
-        assert_eq!(world.vouch(cut), Vouch::Withheld, "seed {seed}");
+        assert_eq!(world.confirmation(cut), Confirmation::Withheld, "seed {seed}");
     }
 }
 
@@ -144,10 +147,18 @@
         world.regroup(minority, 1);
         world.run_ms(CUT_OFF_MS);
         for node in minority {
-            assert_eq!(world.vouch(node), Vouch::Withheld, "seed {seed}: node {node}");
+            assert_eq!(
+                world.confirmation(node),
+                Confirmation::Withheld,
+                "seed {seed}: node {node}"
+            );
         }
         for node in [1, 2, 4, 5, 7] {
-            assert_eq!(world.vouch(node), Vouch::Confirmed, "seed {seed}: node {node}");
+            assert_eq!(
+                world.confirmation(node),
+                Confirmation::Confirmed,
+                "seed {seed}: node {node}"
+            );
         }
     }
 }
@@ -167,20 +178,24 @@
         world.restart(2, seed + 77);
         world.run_ms(10_000);
         for node in 0..8 {
-            assert_eq!(world.vouch(node), Vouch::Outage, "seed {seed}: node {node}");
+            assert_eq!(world.confirmation(node), Confirmation::Outage, "seed {seed}: node {node}");
             assert_eq!(world.value(node).as_deref(), Some("last before"), "seed {seed}");
         }
         let mut withheld = 0;
         for _ in 0..352 {
             world.run_ms(10_000);
-            withheld += (0..8).filter(|node| !world.vouch(*node).is_given()).count();
+            withheld += (0..8).filter(|node| !world.confirmation(*node).allows_serving()).count();
         }
         assert_eq!(withheld, 0, "seed {seed}: a node stopped serving in the outage");
         world.store.is_down = false;
         world.store.write(KEY, "after");
         world.run_ms(12_000);
         for node in 0..8 {
-            assert_eq!(world.vouch(node), Vouch::Confirmed, "seed {seed}: node {node}");
+            assert_eq!(
+                world.confirmation(node),
+                Confirmation::Confirmed,
+                "seed {seed}: node {node}"
+            );
             assert_eq!(world.value(node).as_deref(), Some("after"), "seed {seed}");
         }
     }
@@ -202,9 +217,9 @@
         for _ in 0..500 {
             world.run_ms(20);
             let is_old = world.value(2).as_deref() != Some("newest");
-            assert!(!(is_old && world.vouch(2).is_given()), "seed {seed}");
+            assert!(!(is_old && world.confirmation(2).allows_serving()), "seed {seed}");
         }
-        assert_eq!(world.vouch(2), Vouch::Outage, "seed {seed}");
+        assert_eq!(world.confirmation(2), Confirmation::Outage, "seed {seed}");
     }
 }
 
@@ -227,7 +242,7 @@
             world.run_ms(20);
             let is_old = world.value(2).as_deref() != Some("newest");
             let is_late = world.now > overtaken_at + CUT_OFF_MS;
-            assert!(!(is_old && is_late && world.vouch(2).is_given()), "seed {seed}");
+            assert!(!(is_old && is_late && world.confirmation(2).allows_serving()), "seed {seed}");
         }
     }
 }
@@ -260,7 +275,10 @@
             }
             world.run_ms(25);
             for node in [6, 9] {
-                assert!(world.vouch(node).is_given(), "seed {seed}: node {node}, step {step}");
+                assert!(
+                    world.confirmation(node).allows_serving(),
+                    "seed {seed}: node {node}, step {step}"
+                );
             }
         }
     }
@@ -278,7 +296,7 @@
     world.down.remove(&7);
     world.run_ms(10_000);
     for node in 0..8 {
-        assert_eq!(world.nodes[node].shelf().below("placement/").count(), 0, "node {node}");
+        assert_eq!(world.nodes[node].cache().with_prefix("placement/").count(), 0, "node {node}");
     }
 }
 
@@ -296,7 +314,7 @@
     world.store.is_down = false;
     world.run_ms(15_000);
     for node in 0..8 {
-        let held: Vec<_> = world.nodes[node].shelf().below("placement/").collect();
+        let held: Vec<_> = world.nodes[node].cache().with_prefix("placement/").collect();
         assert_eq!(held.len(), 1, "node {node}: {held:?}");
     }
 }
@@ -312,7 +330,7 @@
             for _ in 0..100 {
                 world.run_ms(20);
                 let withheld: Vec<_> =
-                    (0..12).filter(|node| !world.vouch(*node).is_given()).collect();
+                    (0..12).filter(|node| !world.confirmation(*node).allows_serving()).collect();
                 assert!(withheld.is_empty(), "seed {seed}, change {change}: {withheld:?}");
             }
         }
@@ -330,7 +348,7 @@
             for step in 0..1_000 {
                 world.run_ms(20);
                 let withheld: Vec<_> =
-                    (0..count).filter(|node| !world.vouch(*node).is_given()).collect();
+                    (0..count).filter(|node| !world.confirmation(*node).allows_serving()).collect();
                 assert!(withheld.is_empty(), "{count} nodes, seed {seed}, {step}: {withheld:?}");
             }
         }
