--- a/crates/spread/examples/cut_off_node.rs
+++ b/crates/spread/examples/cut_off_node.rs
@@ -1,4 +1,4 @@
-//! A relay follows the Object API for two others; one of them is cut off and stops vouching.
+//! A relay follows the Object API for two others; one of them is cut off and stops confirming.
 //!
 //! Run with `cargo run -p celeryhaven-spread --example cut_off_node`.
 
@@ -18,7 +18,7 @@
 const CUT_OFF: usize = 2;
 const CUT_AT_MS: u64 = 5_000;
 const WRITES: [(u64, &str); 2] = [(2_000, "\"second\""), (8_000, "\"third\"")];
-/// The nodes' clocks count from the start of their VMs, a little before that of their processes.
+/// Start of the processes; the nodes' clocks start with their VMs, slightly earlier.
 const START_MS: u64 = 1_000;
 const END_MS: u64 = 14_000;
 const STEP_MS: usize = 10;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The answer to the waiting watch, once something changed or its time is up.
+    /// Returns the answer to the pending watch, once an object changed or the wait expired.
     fn due(&mut self, now_ms: u64) -> Option<(usize, StoreReply)> {
         let (feed, from, until) = self.watch?;
         if self.version == from && now_ms < until {
@@ -83,8 +83,8 @@
         }
         self.watch = None;
         let (key, version) = (ObjectKey::new(KEY), self.version);
-        let news = ObjectChange { key, version, value: Some(self.value.clone()) };
-        let changes = if version > from { vec![news] } else { Vec::new() };
+        let change = ObjectChange { key, version, value: Some(self.value.clone()) };
+        let changes = if version > from { vec![change] } else { Vec::new() };
         Some((feed, StoreReply::Changes { version, changes }))
     }
 }
@@ -105,14 +105,14 @@
         index == CUT_OFF && self.now_ms >= CUT_AT_MS
     }
 
-    fn carry_out(&mut self, index: usize, actions: Vec<SpreadAction>) {
+    fn execute(&mut self, index: usize, actions: Vec<SpreadAction>) {
         for action in actions {
             match action {
                 SpreadAction::Send { to, message } => self.messages.push_back((index, to, message)),
                 SpreadAction::Store { feed, request } => self.call(index, feed, &request),
                 SpreadAction::Changed(change) => {
                     let (version, value) = (change.version, change.value);
-                    println!("{:>6} ms: entry-{index} takes {version}: {value:?}", self.now_ms);
+                    println!("{:>6} ms: entry-{index} applies {version}: {value:?}", self.now_ms);
                 }
             }
         }
@@ -131,7 +131,7 @@
     fn reply(&mut self, index: usize, feed: usize, reply: StoreReply) {
         let (now, mut actions) = (self.now(), Vec::new());
         self.nodes[index].store_reply(now, feed, reply, &mut actions);
-        self.carry_out(index, actions);
+        self.execute(index, actions);
     }
 
     fn step(&mut self) {
@@ -146,13 +146,13 @@
             }
             let mut actions = Vec::new();
             self.nodes[to].receive_message(now, &name(from), message, &mut actions);
-            self.carry_out(to, actions);
+            self.execute(to, actions);
         }
         for index in 0..NODES {
             if self.nodes[index].next_wake() <= now {
                 let mut actions = Vec::new();
                 self.nodes[index].tick(now, &mut actions);
-                self.carry_out(index, actions);
+                self.execute(index, actions);
             }
         }
     }
@@ -163,7 +163,7 @@
         OneObject { version: ObjectVersion::new(1), value: "\"first\"".into(), watch: None };
     let nodes = (0..NODES).map(node).collect();
     let mut fleet = Fleet { now_ms: START_MS, nodes, store, messages: VecDeque::new() };
-    let mut vouched = [Confirmation::Withheld; NODES];
+    let mut confirmations = [Confirmation::Withheld; NODES];
     for now_ms in (START_MS..END_MS).step_by(STEP_MS) {
         fleet.now_ms = now_ms;
         if let Some((_, value)) = WRITES.iter().find(|(at_ms, _)| *at_ms == now_ms) {
@@ -171,13 +171,13 @@
             fleet.store.write(value);
         }
         if now_ms == CUT_AT_MS {
-            println!("{now_ms:>6} ms: entry-{CUT_OFF} is cut off from everybody");
+            println!("{now_ms:>6} ms: entry-{CUT_OFF} is cut off from all other nodes");
         }
         fleet.step();
-        for (index, before) in vouched.iter_mut().enumerate() {
-            let vouch = fleet.nodes[index].confirmation(fleet.now());
-            if std::mem::replace(before, vouch) != vouch {
-                println!("{now_ms:>6} ms: entry-{index} vouches: {vouch:?}");
+        for (index, before) in confirmations.iter_mut().enumerate() {
+            let confirmation = fleet.nodes[index].confirmation(fleet.now());
+            if std::mem::replace(before, confirmation) != confirmation {
+                println!("{now_ms:>6} ms: entry-{index} confirmation: {confirmation:?}");
             }
         }
     }
--- a/crates/spread/src/cache/object_cache.rs
+++ b/crates/spread/src/cache/object_cache.rs
@@ -5,77 +5,80 @@
 use celeryhaven_types::store::{ObjectChange, ObjectKey, ObjectVersion};
 use foldhash::quality::FixedState;
 
-/// Seed of the fingerprint; the same on every node.
+/// Seed of the fingerprint; must be the same on every node.
 const FINGERPRINT_SEED: u64 = 0x63_65_6c_65_72_79;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct CachedObject {
     version: ObjectVersion,
     value: Option<Arc<str>>,
 }
 
-/// The newest version of each object that this node has seen, deleted ones included.
+/// The newest version of each object that this node has received, including deleted ones.
 ///
-/// Failure: watches replay, reads are old, peers are behind, and a node that takes whatever comes
-/// last goes back to an earlier configuration. It shows as a setting that returns for seconds. The
-/// guard holds since [`ObjectCache::apply`] is the only way in, and takes nothing at or below the
-/// version held; a deleted object keeps its version for the same reason.
+/// Replayed watches, stale reads and peers that are behind cannot revert an object, since
+/// [`ObjectCache::apply`] ignores every change at or below the cached version. A deleted object
+/// keeps its version for the same reason.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectCache {
-    held: BTreeMap<ObjectKey, Held>,
+    objects: BTreeMap<ObjectKey, CachedObject>,
     fingerprint: u64,
 }
 
-/// Changing.
+/// Updates.
 impl ObjectCache {
-    /// Takes a change if it is newer than what is held; says whether it was.
+    /// Applies a change if it is newer than the cached version; returns whether it was.
     pub fn apply(&mut self, change: &ObjectChange) -> bool {
         let before = self.version(&change.key);
-        if before.is_some_and(|held| held >= change.version) {
+        if before.is_some_and(|version| version >= change.version) {
             return false;
         }
         if let Some(before) = before {
             self.fingerprint ^= fingerprint(&change.key, before);
         }
         self.fingerprint ^= fingerprint(&change.key, change.version);
-        let held = Held { version: change.version, value: change.value.clone() };
-        self.held.insert(change.key.clone(), held);
+        let object = CachedObject { version: change.version, value: change.value.clone() };
+        self.objects.insert(change.key.clone(), object);
         true
     }
 }
 
-/// Reading.
+/// Queries.
 impl ObjectCache {
-    /// The value of an object that is held and not deleted.
+    /// Returns the value of a cached object; `None` if it is unknown or deleted.
     pub fn value(&self, key: &ObjectKey) -> Option<&str> {
-        self.held.get(key)?.value.as_deref()
+        self.objects.get(key)?.value.as_deref()
     }
 
-    /// The version of an object, deleted or not.
+    /// Returns the version of an object, including deleted ones.
     pub fn version(&self, key: &ObjectKey) -> Option<ObjectVersion> {
-        self.held.get(key).map(|held| held.version)
+        self.objects.get(key).map(|object| object.version)
     }
 
-    /// The object as a change that brings another node up to it.
+    /// Returns the object as a change for another node to apply.
     pub fn change(&self, key: &ObjectKey) -> Option<ObjectChange> {
-        let held = self.held.get(key)?;
-        Some(ObjectChange { key: key.clone(), version: held.version, value: held.value.clone() })
+        let object = self.objects.get(key)?;
+        Some(ObjectChange {
+            key: key.clone(),
+            version: object.version,
+            value: object.value.clone(),
+        })
     }
 
-    /// Every object held, by name, deleted ones included.
+    /// Returns every object, in key order, including deleted ones.
     pub fn versions(&self) -> impl Iterator<Item = (&ObjectKey, ObjectVersion)> {
-        self.held.iter().map(|(key, held)| (key, held.version))
+        self.objects.iter().map(|(key, object)| (key, object.version))
     }
 
-    /// Objects below a prefix that are not deleted, by name.
+    /// Returns the objects with a prefix that are not deleted, in key order.
     pub fn with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&ObjectKey, &str)> {
-        self.held
+        self.objects
             .iter()
             .filter(move |(key, _)| key.as_str().starts_with(prefix))
-            .filter_map(|(key, held)| Some((key, held.value.as_deref()?)))
+            .filter_map(|(key, object)| Some((key, object.value.as_deref()?)))
     }
 
-    /// A number that two shelves share if they hold the same versions.
+    /// Returns a hash that is equal for caches that hold the same versions.
     pub const fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
--- a/crates/spread/src/evidence/confirmation.rs
+++ b/crates/spread/src/evidence/confirmation.rs
@@ -1,21 +1,21 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// Whether a node vouches that its copy of the configuration is the one in force.
+    /// Whether a node confirms its copy of the configuration as current.
     #[derive(Copy, Eq)]
     pub enum Confirmation {
-        /// The Object API held it not longer than `vouch_ms` ago.
+        /// The Object API held this copy at most `vouch_ms` ago.
         Confirmed,
-        /// The Object API answers nobody among more than half of the nodes, so that nothing newer
-        /// can have been accepted and seen.
+        /// The Object API is unavailable to a majority of the nodes, so no newer version can have
+        /// been accepted and distributed.
         Outage,
-        /// The node may be cut off: it must not take new requests.
+        /// The node may be cut off and must not accept new requests.
         Withheld,
     }
 }
 
 impl Confirmation {
-    /// Whether the node may take new requests.
+    /// Whether the node may accept new requests.
     ///
     /// ```
     /// use celeryhaven_spread::Confirmation;
--- a/crates/spread/src/evidence/mod.rs
+++ b/crates/spread/src/evidence/mod.rs
@@ -1,7 +1,7 @@
-//! How long a copy may be vouched for.
+//! Whether a copy is confirmed as current.
 
 mod confirmation;
-mod confirmed;
+mod last_confirmed;
 
 pub use confirmation::Confirmation;
-pub(crate) use confirmed::Confirmed;
+pub(crate) use last_confirmed::LastConfirmed;
--- a/crates/spread/src/feed/follow.rs
+++ b/crates/spread/src/feed/follow.rs
@@ -3,17 +3,17 @@
 
 use crate::feed::FeedUpdate;
 
-/// Longest pause after failed calls, as a multiple of the first.
+/// Longest retry delay after failed calls, as a multiple of the first.
 const RETRY_FACTOR_MAX: u64 = 16;
 
-/// Follows one prefix of the Object API: lists it once, then waits on watches.
+/// Follows one prefix of the Object API with a list followed by watches.
 ///
-/// An answer from before the version already seen is dropped, so an old read or a replayed watch
-/// brings nothing back and proves nothing.
+/// Answers older than the last version received are dropped, so a stale read or a replayed watch
+/// neither reverts an object nor confirms a copy.
 #[derive(Clone, Debug)]
 pub struct Feed {
     prefix: ObjectKey,
-    seen: Option<ObjectVersion>,
+    last_version: Option<ObjectVersion>,
     relist: bool,
     pending_since: Option<TimeMs>,
     next_try_at: TimeMs,
@@ -21,11 +21,11 @@
 }
 
 impl Feed {
-    /// Starts without knowing anything; its first call is due at once.
+    /// Creates a follower whose first call is due immediately.
     pub fn new(prefix: ObjectKey) -> Self {
         Self {
             prefix,
-            seen: None,
+            last_version: None,
             relist: true,
             pending_since: None,
             next_try_at: TimeMs::new(0),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// When the next call is due; `None` while one is out.
+    /// Returns when the next call is due; `None` while one is pending.
     pub fn next_wake(&self) -> Option<TimeMs> {
         self.pending_since.is_none().then_some(self.next_try_at)
     }
@@ -45,18 +45,18 @@
 
     /// Whether the prefix has been listed once.
     pub const fn is_primed(&self) -> bool {
-        self.seen.is_some()
+        self.last_version.is_some()
     }
 
-    /// The prefix followed.
+    /// Returns the prefix that is followed.
     pub const fn prefix(&self) -> &ObjectKey {
         &self.prefix
     }
 
-    /// The call to make now; [`Feed::apply_reply`] is due for it.
+    /// Returns the call to make now; pass its answer to [`Feed::apply_reply`].
     pub fn request(&mut self, now: TimeMs, wait_ms: u64) -> StoreRequest {
         self.pending_since = Some(now);
-        match self.seen {
+        match self.last_version {
             Some(from) if !self.relist => {
                 StoreRequest::Watch { prefix: self.prefix.clone(), from, wait_ms }
             }
@@ -64,18 +64,20 @@
         }
     }
 
-    /// Takes the answer to the call that is out; the next call after a failure waits for
-    /// `retry_ms`, doubled with each failure.
+    /// Applies the answer to the pending call.
+    ///
+    /// The first call after a failure is delayed by `retry_ms`; the delay doubles with each
+    /// further failure, up to a limit.
     pub fn apply_reply(&mut self, now: TimeMs, reply: StoreReply, retry_ms: u64) -> FeedUpdate {
         let Some(sent_at) = self.pending_since.take() else { return FeedUpdate::Nothing };
         match reply {
-            StoreReply::Listed { version, objects } if self.seen <= Some(version) => {
-                self.progress(now, version);
+            StoreReply::Listed { version, objects } if self.last_version <= Some(version) => {
+                self.advance(now, version);
                 FeedUpdate::Snapshot { sent_at, version, objects }
             }
-            StoreReply::Changes { version, mut changes } if self.seen <= Some(version) => {
-                changes.retain(|change| Some(change.version) > self.seen);
-                self.progress(now, version);
+            StoreReply::Changes { version, mut changes } if self.last_version <= Some(version) => {
+                changes.retain(|change| Some(change.version) > self.last_version);
+                self.advance(now, version);
                 FeedUpdate::Changes { sent_at, changes }
             }
             StoreReply::TooOld => {
@@ -90,8 +92,8 @@
         }
     }
 
-    fn progress(&mut self, now: TimeMs, version: ObjectVersion) {
-        self.seen = Some(version);
+    fn advance(&mut self, now: TimeMs, version: ObjectVersion) {
+        self.last_version = Some(version);
         self.relist = false;
         self.failures = 0;
         self.next_try_at = now;
--- a/crates/spread/src/feed/mod.rs
+++ b/crates/spread/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! Following one prefix of the Object API.
+//! Follower of one prefix of the Object API.
 
 mod follow;
 mod update;
--- a/crates/spread/src/feed/update.rs
+++ b/crates/spread/src/feed/update.rs
@@ -3,22 +3,22 @@
 use celeryhaven_types::store::{Object, ObjectChange, ObjectVersion};
 
 state! {
-    /// What an answer of the Object API brought.
+    /// Outcome of an answer from the Object API.
     pub enum FeedUpdate {
-        /// It failed, or is from before the version already seen.
+        /// The call failed, or its answer is older than the last version received.
         Nothing,
-        /// Every object below the prefix; those known and absent were deleted.
+        /// Every object with the prefix; cached objects that are absent were deleted.
         Snapshot {
-            /// When the call that it answers was sent.
+            /// When the call was sent.
             sent_at: TimeMs,
-            /// The store's version.
+            /// Version of the store at the listing.
             version: ObjectVersion,
             /// The objects.
             objects: Vec<Object>,
         },
-        /// Changes after what was known, in order; perhaps none.
+        /// Changes after the last version received, in order; may be empty.
         Changes {
-            /// When the call that it answers was sent.
+            /// When the call was sent.
             sent_at: TimeMs,
             /// The changes.
             changes: Vec<ObjectChange>,
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,18 +1,19 @@
 //! Spread of versioned configuration that never reverts, without I/O.
 //!
-//! A few nodes of each data centre (the relays) follow the Object API; every other node asks a
-//! relay once in each period and is told of changes as they come. Each object has a high-water
-//! version below which nothing is taken. A node vouches for its copy only while it has evidence
-//! that the Object API still holds it, or while the Object API is down for everybody.
+//! A few nodes of each data centre (the relays) follow the Object API. Every other node queries a
+//! relay once per period and is notified of changes as they arrive. Each object has a high-water
+//! version, and changes at or below it are ignored. A node confirms its copy only while it has
+//! evidence that the Object API still holds it, or during an outage of the Object API that affects
+//! the whole fleet.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`settings`] | periods and limits |
 //! | [`cache`] | objects with their high-water versions |
-//! | [`feed`] | following one prefix of the Object API |
-//! | [`evidence`] | how long a copy may be vouched for |
-//! | [`message`] | what nodes send each other |
-//! | [`machine`] | the state machine that drivers use |
+//! | [`feed`] | follower of one prefix of the Object API |
+//! | [`evidence`] | whether a copy is confirmed as current |
+//! | [`message`] | messages between nodes |
+//! | [`machine`] | the state machine and its actions |
 //!
 //! ```
 //! use celeryhaven_spread::ObjectCache;
@@ -30,7 +31,7 @@
 //! assert_eq!(cache.value(&key), Some("new"));
 //! ```
 //!
-//! A whole run in virtual time, with a node that is cut off, is in `examples/cut_off_node.rs`:
+//! `examples/cut_off_node.rs` runs three nodes in virtual time and cuts one of them off:
 //! `cargo run -p celeryhaven-spread --example cut_off_node`.
 
 pub mod cache;
--- a/crates/spread/src/machine/action.rs
+++ b/crates/spread/src/machine/action.rs
@@ -5,19 +5,19 @@
 use crate::message::SpreadMessage;
 
 state! {
-    /// What the spread wants done, or has taken.
+    /// An action for the driver to execute, or a change that was applied.
     pub enum SpreadAction {
-        /// Send a message; it may be lost.
+        /// Send a message; delivery is not guaranteed.
         Send {
-            /// To whom.
+            /// The receiver.
             to: NodeName,
             /// The message.
             message: SpreadMessage,
         },
-        /// Call the Object API and give the answer to
+        /// Call the Object API and pass the answer to
         /// [`Spread::store_reply`](super::Spread::store_reply).
         Store {
-            /// Which of the followed prefixes it is for.
+            /// Index of the followed prefix.
             feed: usize,
             /// The call.
             request: StoreRequest,
--- a/crates/spread/src/machine/fleet_view.rs
+++ b/crates/spread/src/machine/fleet_view.rs
@@ -13,22 +13,22 @@
         pub is_relay: bool,
     }
 
-    /// What membership says of the fleet, as this node sees it.
+    /// This node's view of the fleet, from membership.
     #[derive(Default)]
     pub struct FleetView {
         /// Other live nodes, by name.
         pub peers: Vec<SpreadPeer>,
         /// Whether this node follows the Object API for its data centre.
         pub is_relay: bool,
-        /// Nodes that answer, this one included.
+        /// Number of nodes that answer probes, including this one.
         pub answering: usize,
-        /// Nodes known lately, answering or not.
+        /// Number of recently known nodes, whether they answer or not.
         pub known: usize,
     }
 }
 
 impl FleetView {
-    /// Whether this node sees more than half of those it knows.
+    /// Whether more than half of the known nodes answer.
     pub const fn is_majority(&self) -> bool {
         self.answering * 2 > self.known
     }
--- a/crates/spread/src/machine/receiving.rs
+++ b/crates/spread/src/machine/receiving.rs
@@ -2,15 +2,16 @@
 use celeryhaven_types::{NodeName, TimeMs};
 use rand::seq::IndexedRandom;
 
-use crate::machine::{Spread, SpreadAction, Wanted};
+use crate::machine::{PendingFetch, Spread, SpreadAction};
 use crate::message::{QueryId, SpreadMessage, Summary};
 
-/// Answers in a row that differ before all versions are compared: news on its way differs once.
-const DIFFERING_BEFORE_COMPARE: u64 = 2;
+/// Consecutive summaries with another fingerprint after which all versions are compared; an update
+/// in transit causes only one mismatch.
+const MISMATCHES_BEFORE_COMPARISON: u64 = 2;
 
-/// Messages of other nodes.
+/// Messages from other nodes.
 impl Spread {
-    /// Takes a message of another node.
+    /// Processes a message from another node.
     pub fn receive_message(
         &mut self,
         now: TimeMs,
@@ -21,43 +22,42 @@
         self.last_contact = Some(now);
         match message {
             SpreadMessage::Ask { ask, vouched } => {
-                self.held_by_others.insert(from.clone(), vouched);
+                self.peer_versions.insert(from.clone(), vouched);
                 let summary = self.summary(now);
                 send(from, SpreadMessage::Tell { ask, summary }, out);
             }
-            SpreadMessage::Tell { ask, summary } => self.told(now, from, ask, summary, out),
-            SpreadMessage::Announce { key, version } => self.want(now, from, key, version, out),
-            SpreadMessage::Want { keys } => self.bring(from, &keys, out),
+            SpreadMessage::Tell { ask, summary } => self.apply_answer(now, from, ask, summary, out),
+            SpreadMessage::Announce { key, version } => self.fetch(now, from, key, version, out),
+            SpreadMessage::Want { keys } => self.send_objects(from, &keys, out),
             SpreadMessage::Objects { changes } => {
                 for change in changes {
-                    self.take(change, out);
+                    self.apply_change(change, out);
                 }
             }
-            SpreadMessage::Versions { held } => self.compare(now, from, &held, out),
+            SpreadMessage::Versions { held } => self.compare_versions(now, from, &held, out),
         }
     }
 
-    /// Tells a few nodes of a new version, mostly of the own data centre.
+    /// Announces a new version to `fanout` nodes, mostly in the same data centre.
     ///
-    /// Each node that learns of it tells `fanout` others, so the news doubles its reach in each
-    /// delay; whoever is missed hears of it at the next question. The object itself is sent only
-    /// to those who ask, so a node gets it once.
+    /// Nodes that an announcement does not reach learn of the version with their next query. The
+    /// object itself is sent only on request, so each node receives it once.
     pub(crate) fn announce(&mut self, change: &ObjectChange, out: &mut Vec<SpreadAction>) {
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (local, remote): (Vec<_>, Vec<_>) =
             self.fleet_view.peers.iter().partition(|peer| peer.in_same_data_centre);
-        let far_count = usize::from(!far.is_empty());
-        let near_count = self.settings.fanout.saturating_sub(far_count).max(1);
-        let mut told = sample(&near, near_count, &mut self.rng);
-        let left = self.settings.fanout.saturating_sub(told.len());
-        told.extend(sample(&far, left, &mut self.rng));
+        let remote_count = usize::from(!remote.is_empty());
+        let local_count = self.settings.fanout.saturating_sub(remote_count).max(1);
+        let mut recipients = sample(&local, local_count, &mut self.rng);
+        let left = self.settings.fanout.saturating_sub(recipients.len());
+        recipients.extend(sample(&remote, left, &mut self.rng));
         let (key, version) = (&change.key, change.version);
-        out.extend(told.into_iter().map(|to| SpreadAction::Send {
+        out.extend(recipients.into_iter().map(|to| SpreadAction::Send {
             to,
             message: SpreadMessage::Announce { key: key.clone(), version },
         }));
     }
 
-    fn told(
+    fn apply_answer(
         &mut self,
         now: TimeMs,
         from: &NodeName,
@@ -65,46 +65,46 @@
         summary: Summary,
         out: &mut Vec<SpreadAction>,
     ) {
-        let Some((asked, asked_at)) = self.asked.remove(&ask) else { return };
-        if asked != *from {
+        let Some((queried_peer, sent_at)) = self.pending_queries.remove(&ask) else { return };
+        if queried_peer != *from {
             return;
         }
         let own = self.confirmed_object_version();
         if summary.vouched <= own {
-            self.agreed.insert(from.clone());
-            self.has_been_told = true;
+            self.agreeing_peers.insert(from.clone());
+            self.has_peer_agreement = true;
         }
         if summary.vouched < own {
-            let key = self.vouched_key.clone();
+            let key = self.confirmed_key.clone();
             send(from, SpreadMessage::Announce { key, version: own }, out);
         } else if summary.vouched > own {
-            let key = self.vouched_key.clone();
-            self.want(now, from, key, summary.vouched, out);
+            let key = self.confirmed_key.clone();
+            self.fetch(now, from, key, summary.vouched, out);
         } else if let Some(age_ms) = summary.proof_age_ms
-            && asked_at.get() >= age_ms
+            && sent_at.get() >= age_ms
         {
-            self.confirmed.prove(TimeMs::new(asked_at.get() - age_ms));
+            self.last_confirmed.record(TimeMs::new(sent_at.get() - age_ms));
         }
         self.repair(from, summary, out);
     }
 
-    /// Compares all versions with a peer whose shelf has differed for a while.
+    /// Compares all versions with a peer whose fingerprint differs repeatedly.
     fn repair(&mut self, from: &NodeName, summary: Summary, out: &mut Vec<SpreadAction>) {
         if summary.fingerprint == self.cache.fingerprint() {
-            self.differing.remove(from);
+            self.mismatch_counts.remove(from);
             self.is_primed |= summary.vouched != ObjectVersion::default();
             return;
         }
-        let count = self.differing.entry(from.clone()).or_default();
+        let count = self.mismatch_counts.entry(from.clone()).or_default();
         *count += 1;
-        if *count >= DIFFERING_BEFORE_COMPARE || !self.is_primed {
-            self.differing.remove(from);
+        if *count >= MISMATCHES_BEFORE_COMPARISON || !self.is_primed {
+            self.mismatch_counts.remove(from);
             let held = self.cache.versions().map(|(key, version)| (key.clone(), version));
             send(from, SpreadMessage::Versions { held: held.collect() }, out);
         }
     }
 
-    fn want(
+    fn fetch(
         &mut self,
         now: TimeMs,
         from: &NodeName,
@@ -112,32 +112,33 @@
         version: ObjectVersion,
         out: &mut Vec<SpreadAction>,
     ) {
-        let is_held = self.cache.version(&key).is_some_and(|held| held >= version);
-        if is_held {
+        let is_current = self.cache.version(&key).is_some_and(|cached| cached >= version);
+        if is_current {
             return;
         }
-        if let Some(wanted) = self.wanted.get_mut(&key)
-            && wanted.version >= version
-            && now < wanted.until
+        if let Some(fetch) = self.pending_fetches.get_mut(&key)
+            && fetch.version >= version
+            && now < fetch.retry_at
         {
-            if !wanted.holders.contains(from) {
-                wanted.holders.push(from.clone());
+            if !fetch.other_holders.contains(from) {
+                fetch.other_holders.push(from.clone());
             }
             return;
         }
-        let until = now.after(self.settings.fetch_timeout_ms);
-        self.wanted.insert(key.clone(), Wanted { version, until, holders: Vec::new() });
+        let retry_at = now.after(self.settings.fetch_timeout_ms);
+        self.pending_fetches
+            .insert(key.clone(), PendingFetch { version, retry_at, other_holders: Vec::new() });
         send(from, SpreadMessage::Want { keys: vec![key] }, out);
     }
 
-    fn bring(&self, to: &NodeName, keys: &[ObjectKey], out: &mut Vec<SpreadAction>) {
+    fn send_objects(&self, to: &NodeName, keys: &[ObjectKey], out: &mut Vec<SpreadAction>) {
         let changes: Vec<_> = keys.iter().filter_map(|key| self.cache.change(key)).collect();
         if !changes.is_empty() {
             send(to, SpreadMessage::Objects { changes }, out);
         }
     }
 
-    fn compare(
+    fn compare_versions(
         &mut self,
         now: TimeMs,
         from: &NodeName,
@@ -145,8 +146,8 @@
         out: &mut Vec<SpreadAction>,
     ) {
         let theirs = |key: &ObjectKey| {
-            let place = held.binary_search_by(|(other, _)| other.cmp(key)).ok()?;
-            Some(held[place].1)
+            let index = held.binary_search_by(|(other, _)| other.cmp(key)).ok()?;
+            Some(held[index].1)
         };
         let newer_here: Vec<ObjectKey> = self
             .cache
@@ -154,9 +155,9 @@
             .filter(|(key, version)| theirs(key).is_none_or(|theirs| theirs < *version))
             .map(|(key, _)| key.clone())
             .collect();
-        self.bring(from, &newer_here, out);
+        self.send_objects(from, &newer_here, out);
         for (key, version) in held {
-            self.want(now, from, key.clone(), *version, out);
+            self.fetch(now, from, key.clone(), *version, out);
         }
     }
 }
--- a/crates/spread/src/machine/store.rs
+++ b/crates/spread/src/machine/store.rs
@@ -5,9 +5,9 @@
 use crate::feed::{Feed, FeedUpdate};
 use crate::machine::{Spread, SpreadAction};
 
-/// Following the Object API.
+/// Calls of the Object API.
 impl Spread {
-    /// Takes the answer to a [`SpreadAction::Store`].
+    /// Applies the answer to a [`SpreadAction::Store`].
     pub fn store_reply(
         &mut self,
         now: TimeMs,
@@ -16,26 +16,26 @@
         out: &mut Vec<SpreadAction>,
     ) {
         let retry_ms = self.retry_ms();
-        let Some(following) = self.feeds.get_mut(feed) else { return };
-        match following.apply_reply(now, reply, retry_ms) {
+        let Some(follower) = self.feeds.get_mut(feed) else { return };
+        match follower.apply_reply(now, reply, retry_ms) {
             FeedUpdate::Nothing => return,
             FeedUpdate::Snapshot { sent_at, version, objects } => {
-                self.take_snapshot(feed, version, objects, out);
-                self.prove(feed, sent_at);
+                self.apply_snapshot(feed, version, objects, out);
+                self.record_confirmation(feed, sent_at);
                 self.is_primed |= self.feeds.iter().all(Feed::is_primed);
             }
             FeedUpdate::Changes { sent_at, changes } => {
                 for change in changes {
-                    self.take(change, out);
+                    self.apply_change(change, out);
                 }
-                self.prove(feed, sent_at);
+                self.record_confirmation(feed, sent_at);
             }
         }
-        self.read_store(now, out);
+        self.poll_store(now, out);
     }
 
-    pub(crate) fn read_store(&mut self, now: TimeMs, out: &mut Vec<SpreadAction>) {
-        if now < self.follows_store_since() {
+    pub(crate) fn poll_store(&mut self, now: TimeMs, out: &mut Vec<SpreadAction>) {
+        if now < self.store_reads_from() {
             return;
         }
         let active: Vec<usize> = self.active_feeds().collect();
@@ -47,41 +47,45 @@
         }
     }
 
-    /// From when this node reads the Object API itself.
+    /// Returns from when this node calls the Object API itself.
     ///
-    /// Each waiting watch counts as a call there, so two nodes of each data centre follow it for
-    /// the others. A node that gets no evidence through them reads for itself, lest the death of
-    /// both relays take a healthy data centre out of service.
-    pub(crate) fn follows_store_since(&self) -> TimeMs {
+    /// Only relays call it in normal operation, which limits the number of watches. Other nodes
+    /// fall back to calls of their own, so that the failure of all relays does not take a healthy
+    /// data centre out of service.
+    pub(crate) fn store_reads_from(&self) -> TimeMs {
         if self.fleet_view.is_relay {
             return TimeMs::default();
         }
-        let proven_at = self.confirmed.at();
-        proven_at.unwrap_or(self.started_at).after(self.settings.fallback_ms)
+        let confirmed_at = self.last_confirmed.at();
+        confirmed_at.unwrap_or(self.started_at).after(self.settings.fallback_ms)
     }
 
-    /// A relay follows every prefix; a node that falls back reads only the vouched one.
+    /// Returns the feeds to follow: all for a relay, only that of the confirmed object otherwise.
     pub(crate) fn active_feeds(&self) -> impl Iterator<Item = usize> {
-        let vouched = self.vouched_feed();
+        let confirmed = self.confirmed_feed();
         let is_relay = self.fleet_view.is_relay;
-        (0..self.feeds.len()).filter(move |feed| is_relay || Some(*feed) == vouched)
+        (0..self.feeds.len()).filter(move |feed| is_relay || Some(*feed) == confirmed)
     }
 
-    /// Takes a newer version of an object and tells others of it.
-    pub(crate) fn take(&mut self, change: ObjectChange, out: &mut Vec<SpreadAction>) -> bool {
+    /// Applies and announces a change if it is newer; returns whether it was.
+    pub(crate) fn apply_change(
+        &mut self,
+        change: ObjectChange,
+        out: &mut Vec<SpreadAction>,
+    ) -> bool {
         if !self.cache.apply(&change) {
             return false;
         }
-        if change.key == self.vouched_key {
-            self.agreed.clear();
+        if change.key == self.confirmed_key {
+            self.agreeing_peers.clear();
         }
-        self.wanted.remove(&change.key);
+        self.pending_fetches.remove(&change.key);
         self.announce(&change, out);
         out.push(SpreadAction::Changed(change));
         true
     }
 
-    fn take_snapshot(
+    fn apply_snapshot(
         &mut self,
         feed: usize,
         version: ObjectVersion,
@@ -89,7 +93,7 @@
         out: &mut Vec<SpreadAction>,
     ) {
         for key in self.deleted_since(feed, version, &objects) {
-            self.take(ObjectChange { key, version, value: None }, out);
+            self.apply_change(ObjectChange { key, version, value: None }, out);
         }
         for object in objects {
             let change = ObjectChange {
@@ -97,11 +101,11 @@
                 version: object.version,
                 value: Some(object.value),
             };
-            self.take(change, out);
+            self.apply_change(change, out);
         }
     }
 
-    /// Objects held but absent from a listing of a later version of the store.
+    /// Returns the cached objects that are absent from a listing of a later version of the store.
     fn deleted_since(
         &self,
         feed: usize,
@@ -112,20 +116,20 @@
         let is_listed = |key: &ObjectKey| objects.iter().any(|object| object.key == *key);
         self.cache
             .versions()
-            .filter(|(key, held)| key.as_str().starts_with(prefix) && *held < version)
+            .filter(|(key, cached)| key.as_str().starts_with(prefix) && *cached < version)
             .filter(|(key, _)| self.cache.value(key).is_some() && !is_listed(key))
             .map(|(key, _)| key.clone())
             .collect()
     }
 
-    fn prove(&mut self, feed: usize, sent_at: TimeMs) {
-        if Some(feed) == self.vouched_feed() {
-            self.confirmed.prove(sent_at);
+    fn record_confirmation(&mut self, feed: usize, sent_at: TimeMs) {
+        if Some(feed) == self.confirmed_feed() {
+            self.last_confirmed.record(sent_at);
         }
     }
 
-    fn vouched_feed(&self) -> Option<usize> {
-        let key = self.vouched_key.as_str();
+    fn confirmed_feed(&self) -> Option<usize> {
+        let key = self.confirmed_key.as_str();
         self.feeds.iter().position(|feed| key.starts_with(feed.prefix().as_str()))
     }
 
@@ -134,7 +138,7 @@
             true => self.settings.relay_retry_ms,
             false => self.settings.fallback_retry_ms,
         };
-        // Jitter, so that all nodes do not come back to a healed store at the same moment.
+        // Avoids a synchronized burst of calls when the store recovers.
         base_ms + self.rng.random_range(0..=base_ms / 2)
     }
 }
--- a/crates/spread/src/message/mod.rs
+++ b/crates/spread/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other.
+//! Messages between nodes.
 
 mod wire;
 
--- a/crates/spread/src/message/wire.rs
+++ b/crates/spread/src/message/wire.rs
@@ -2,61 +2,61 @@
 use celeryhaven_types::store::{ObjectChange, ObjectKey, ObjectVersion};
 
 number! {
-    /// Matches a [`SpreadMessage::Tell`] to the question of the same node.
+    /// Correlates a [`SpreadMessage::Tell`] with the query that it answers.
     QueryId(u64)
 }
 
 data! {
-    /// What a node holds, in a few bytes.
+    /// Digest of the objects that a node holds.
     #[derive(Copy, Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Summary {
-        /// Shared by nodes that hold the same versions of all objects.
+        /// Equal for nodes that hold the same versions of all objects.
         pub fingerprint: u64,
-        /// Version of the vouched object; zero if the node holds none.
+        /// Version of the confirmed object; zero if the node holds none.
         pub vouched: ObjectVersion,
-        /// Age of the proof that the Object API held that version, in milliseconds.
+        /// Age of the last confirmation by the Object API, in milliseconds.
         pub proof_age_ms: Option<u64>,
     }
 
-    /// A message between nodes; any may be lost.
+    /// A message between nodes; delivery is not guaranteed.
     #[serde(rename_all = "snake_case")]
     pub enum SpreadMessage {
-        /// Asks what the receiver holds.
+        /// Queries the receiver for its summary.
         Ask {
-            /// Named in the answer.
+            /// Number of the query, repeated in the answer.
             ask: QueryId,
-            /// Version of the vouched object that the sender holds; zero if none.
+            /// Version of the confirmed object that the sender holds; zero if none.
             vouched: ObjectVersion,
         },
-        /// Says what the sender holds.
+        /// Answers a query with the sender's summary.
         Tell {
-            /// As in the question.
+            /// Number of the query.
             ask: QueryId,
-            /// What it holds.
+            /// The sender's summary.
             summary: Summary,
         },
-        /// Says that there is a new version.
+        /// Announces a new version of an object.
         Announce {
-            /// Of which object.
+            /// The object.
             key: ObjectKey,
-            /// Which.
+            /// The new version.
             version: ObjectVersion,
         },
-        /// Asks for objects.
+        /// Requests objects.
         Want {
-            /// Which.
+            /// The requested objects.
             keys: Vec<ObjectKey>,
         },
-        /// Brings objects.
+        /// Sends objects.
         Objects {
-            /// Each at its newest version known to the sender.
+            /// Each object at the newest version that the sender holds.
             changes: Vec<ObjectChange>,
         },
-        /// Lists every version held, so that the receiver can send what is newer and ask for what
-        /// it lacks.
+        /// Lists all versions that the sender holds, so that the receiver can send newer objects
+        /// and request those that it lacks.
         Versions {
-            /// By object.
+            /// Version of each object, in key order.
             held: Vec<(ObjectKey, ObjectVersion)>,
         },
     }
--- a/crates/spread/src/settings/spread_settings.rs
+++ b/crates/spread/src/settings/spread_settings.rs
@@ -1,30 +1,31 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// Periods and limits of the spread, in milliseconds of the node's own clock.
+    /// Periods and limits; times are in milliseconds of the node's own clock.
     #[derive(Copy, Eq)]
     pub struct SpreadSettings {
-        /// How often a node asks another one what it holds.
+        /// Period in which a node queries a peer for its summary.
         pub query_period_ms: u64,
-        /// How long a watch waits at the Object API; a relay's evidence is at most twice as old.
+        /// How long a watch waits at the Object API for a change.
         pub watch_wait_ms: u64,
-        /// Age of the newest evidence at which a node stops vouching for its copy.
+        /// Age of the last confirmation after which a node no longer confirms its copy.
         pub vouch_ms: u64,
-        /// Age of the newest evidence at which a node reads the Object API itself.
+        /// Age of the last confirmation after which a node calls the Object API itself.
         pub fallback_ms: u64,
-        /// First pause after a failed call of a relay; doubles up to sixteen times that.
+        /// First retry delay after a failed call of a relay; doubles up to sixteen times that.
         pub relay_retry_ms: u64,
-        /// The same for a node that is no relay.
+        /// First retry delay after a failed call of a node that is not a relay.
         pub fallback_retry_ms: u64,
-        /// Nodes told at once of a new version.
+        /// Number of nodes that are notified immediately of a new version.
         pub fanout: usize,
-        /// Time after which a wanted object is asked of another node.
+        /// Time after which a requested object is requested from another node.
         pub fetch_timeout_ms: u64,
-        /// Time in which a node must have heard another one to take an outage for everybody's.
+        /// Time since the last message of a peer within which an outage may count as fleet-wide.
         pub contact_timeout_ms: u64,
-        /// Time after a start in which a node that knows no other waits for one.
+        /// Time after its start that a node without peers waits for one.
         pub startup_wait_ms: u64,
-        /// Other nodes that must hold nothing newer before a node vouches during an outage.
+        /// Number of other nodes that must hold nothing newer before a node confirms its copy
+        /// during an outage.
         pub confirmations: usize,
     }
 }
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Nodes that spread objects, the network between them and an Object API, in virtual time.
+//! A simulated fleet with its network and Object API, in virtual time.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 mod store;
@@ -17,8 +17,8 @@
 use rand::{Rng, SeedableRng};
 pub use store::FakeStore;
 
-/// One-way delay between nodes, and to the Object API, in milliseconds at most.
-const DELAY_MS: u64 = 60;
+/// Maximum one-way delay between nodes, and to the Object API.
+const DELAY_MS_MAX: u64 = 60;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
@@ -33,25 +33,25 @@
     pub nodes: Vec<Spread>,
     pub store: FakeStore,
     pub down: BTreeSet<usize>,
-    /// Nodes of the same group reach each other; all are in group 0 at first.
+    /// Network partition of each node; only nodes of the same group reach each other.
     pub group: Vec<u32>,
-    /// Groups that reach the Object API.
+    /// Partitions that reach the Object API.
     pub store_groups: BTreeSet<u32>,
-    /// The newest version of the vouched object at each node, and when it came.
+    /// Versions of the confirmed object that each node applied, and when.
     pub in_force: Vec<BTreeMap<u64, u64>>,
-    /// Versions that came back after a later one.
+    /// Number of versions that were applied after a later one.
     pub reverted: usize,
     pub sent_bytes: Vec<u64>,
     pub sent_messages: Vec<u64>,
     pub data_centres: usize,
-    /// How long after a cut the nodes' membership shows it.
+    /// Delay after which the nodes' membership reflects a partition.
     pub membership_lag_ms: u64,
     boots: Vec<u64>,
     highest: Vec<u64>,
     events: BinaryHeap<Reverse<(u64, u64)>>,
     event_bodies: BTreeMap<u64, Event>,
     next_event: u64,
-    regrouped_at: Option<u64>,
+    membership_update_at: Option<u64>,
     rng: SmallRng,
 }
 
@@ -91,28 +91,28 @@
             events: BinaryHeap::new(),
             event_bodies: BTreeMap::new(),
             next_event: 0,
-            regrouped_at: None,
+            membership_update_at: None,
             rng: SmallRng::seed_from_u64(seed),
         };
-        world.surround();
+        world.update_fleet_views();
         world
     }
 
-    /// Starts a node anew, knowing nothing.
+    /// Restarts a node with an empty cache.
     pub fn restart(&mut self, index: usize, seed: u64) {
         self.nodes[index] = spread(self.now, seed);
         self.boots[index] += 1;
         self.highest[index] = 0;
         self.down.remove(&index);
-        self.surround();
+        self.update_fleet_views();
     }
 
-    /// Puts nodes into a group of their own; membership shows it later.
-    pub fn regroup(&mut self, nodes: impl IntoIterator<Item = usize>, group: u32) {
+    /// Moves nodes to a partition; membership reflects it after `membership_lag_ms`.
+    pub fn partition(&mut self, nodes: impl IntoIterator<Item = usize>, group: u32) {
         for node in nodes {
             self.group[node] = group;
         }
-        self.regrouped_at = Some(self.now + self.membership_lag_ms);
+        self.membership_update_at = Some(self.now + self.membership_lag_ms);
     }
 
     pub fn confirmation(&self, index: usize) -> Confirmation {
@@ -123,23 +123,23 @@
         self.nodes[index].cache().value(&ObjectKey::new(KEY)).map(str::to_owned)
     }
 
-    /// Tells every node who is live and who relays, as membership would.
-    pub fn surround(&mut self) {
+    /// Gives every node its view of the fleet, in place of membership.
+    pub fn update_fleet_views(&mut self) {
         let count = self.nodes.len();
         for index in 0..count {
-            let mine = index % self.data_centres;
+            let own_data_centre = index % self.data_centres;
             let reach = |other: &usize| {
                 !self.down.contains(other) && self.group[*other] == self.group[index]
             };
             let data_centres = self.data_centres;
-            let relays_of = |place: usize| {
-                (0..count).filter(move |n| n % data_centres == place).filter(reach).take(2)
+            let relays_of = |data_centre: usize| {
+                (0..count).filter(move |n| n % data_centres == data_centre).filter(reach).take(2)
             };
             let relays: BTreeSet<usize> = (0..data_centres).flat_map(relays_of).collect();
             let peers = (0..count).filter(|other| *other != index).filter(reach);
             let peers = peers.map(|other| SpreadPeer {
                 node: name(other),
-                in_same_data_centre: other % self.data_centres == mine,
+                in_same_data_centre: other % self.data_centres == own_data_centre,
                 is_relay: relays.contains(&other),
             });
             let peers: Vec<_> = peers.collect();
@@ -153,12 +153,12 @@
     pub fn run_ms(&mut self, span_ms: u64) {
         let end = self.now + span_ms;
         while self.now < end {
-            self.now = self.next_moment().clamp(self.now, end);
-            if self.regrouped_at.is_some_and(|at| at <= self.now) {
-                self.regrouped_at = None;
-                self.surround();
+            self.now = self.next_event_at().clamp(self.now, end);
+            if self.membership_update_at.is_some_and(|at| at <= self.now) {
+                self.membership_update_at = None;
+                self.update_fleet_views();
             }
-            self.happen_due();
+            self.process_due_events();
             self.tick_due();
             for (node, boot, feed, reply) in self.store.due(self.now) {
                 self.answer(node, boot, feed, reply);
@@ -166,15 +166,15 @@
         }
     }
 
-    fn next_moment(&self) -> u64 {
+    fn next_event_at(&self) -> u64 {
         let event = self.events.peek().map_or(u64::MAX, |Reverse((at, _))| *at);
         let running = (0..self.nodes.len()).filter(|index| !self.down.contains(index));
         let wake = running.map(|index| self.nodes[index].next_wake().get()).min();
-        let regroup = self.regrouped_at.unwrap_or(u64::MAX);
-        event.min(wake.unwrap_or(u64::MAX)).min(self.store.next_due()).min(regroup)
+        let membership_update = self.membership_update_at.unwrap_or(u64::MAX);
+        event.min(wake.unwrap_or(u64::MAX)).min(self.store.next_due()).min(membership_update)
     }
 
-    fn happen_due(&mut self) {
+    fn process_due_events(&mut self) {
         while self.events.peek().is_some_and(|Reverse((at, _))| *at <= self.now) {
             let Some(Reverse((_, id))) = self.events.pop() else { return };
             match self.event_bodies.remove(&id) {
@@ -200,7 +200,7 @@
             }
             let mut out = Vec::new();
             self.nodes[index].tick(TimeMs::new(self.now), &mut out);
-            self.carry_out(index, out);
+            self.execute(index, out);
         }
     }
 
@@ -211,7 +211,7 @@
         let message: SpreadMessage = postcard::from_bytes(bytes).expect("what was sent");
         let mut out = Vec::new();
         self.nodes[to].receive_message(TimeMs::new(self.now), &name(from), message, &mut out);
-        self.carry_out(to, out);
+        self.execute(to, out);
     }
 
     fn reply(&mut self, node: usize, boot: u64, feed: usize, reply: StoreReply) {
@@ -222,21 +222,21 @@
         let reply = if reaches { reply } else { StoreReply::Unknown };
         let mut out = Vec::new();
         self.nodes[node].store_reply(TimeMs::new(self.now), feed, reply, &mut out);
-        self.carry_out(node, out);
+        self.execute(node, out);
     }
 
     fn answer(&mut self, node: usize, boot: u64, feed: usize, reply: StoreReply) {
-        self.later(Event::Reply { node, boot, feed, reply });
+        self.schedule(Event::Reply { node, boot, feed, reply });
     }
 
-    fn carry_out(&mut self, from: usize, out: Vec<SpreadAction>) {
+    fn execute(&mut self, from: usize, out: Vec<SpreadAction>) {
         for action in out {
             match action {
                 SpreadAction::Send { to, message } => self.send(from, &to, &message),
                 SpreadAction::Store { feed, request } => {
                     let boot = self.boots[from];
                     match self.store_groups.contains(&self.group[from]) {
-                        true => self.later(Event::Call { node: from, boot, feed, request }),
+                        true => self.schedule(Event::Call { node: from, boot, feed, request }),
                         false => self.answer(from, boot, feed, StoreReply::Unknown),
                     }
                 }
@@ -257,11 +257,11 @@
         let bytes = postcard::to_allocvec(message).expect("a message");
         self.sent_bytes[from] += bytes.len() as u64;
         self.sent_messages[from] += 1;
-        self.later(Event::Message { from, to: index_of(to), bytes });
+        self.schedule(Event::Message { from, to: index_of(to), bytes });
     }
 
-    fn later(&mut self, event: Event) {
-        let at = self.now + self.rng.random_range(1..=DELAY_MS);
+    fn schedule(&mut self, event: Event) {
+        let at = self.now + self.rng.random_range(1..=DELAY_MS_MAX);
         self.next_event += 1;
         self.events.push(Reverse((at, self.next_event)));
         self.event_bodies.insert(self.next_event, event);
--- a/crates/spread/tests/common/store.rs
+++ b/crates/spread/tests/common/store.rs
@@ -4,29 +4,29 @@
     Object, ObjectChange, ObjectKey, ObjectVersion, StoreReply, StoreRequest,
 };
 
-/// Who asked: node, boot of the node, followed prefix.
-type Asker = (usize, u64, usize);
+/// Caller: node, boot of the node, index of the followed prefix.
+type Caller = (usize, u64, usize);
 
-/// An answer to be sent.
+/// An answer to send to a caller.
 type Answer = (usize, u64, usize, StoreReply);
 
 struct Watch {
-    asker: Asker,
+    caller: Caller,
     prefix: String,
     from: u64,
     until: u64,
 }
 
-/// An Object API in virtual time, with outages and old reads.
+/// An Object API in virtual time, with outages and stale reads.
 #[derive(Default)]
 pub struct FakeStore {
     pub is_down: bool,
-    /// Lists are answered from the state at this version or before.
+    /// Answers lists from the state at this version.
     pub stale_at: Option<u64>,
-    /// Watches from before this version are refused.
-    pub kept_from: u64,
+    /// Rejects watches that start before this version.
+    pub oldest_watch_version: u64,
     pub calls: u64,
-    /// Askers of each call since the start.
+    /// Nodes that have called.
     pub callers: BTreeSet<usize>,
     version: u64,
     history: Vec<(u64, String, Option<String>)>,
@@ -34,30 +34,31 @@
 }
 
 impl FakeStore {
-    /// Writes an object; gives its version.
+    /// Writes an object and returns its version.
     pub fn write(&mut self, key: &str, value: &str) -> u64 {
         self.version += 1;
         self.history.push((self.version, key.to_owned(), Some(value.to_owned())));
         self.version
     }
 
-    /// Deletes an object.
     pub fn delete(&mut self, key: &str) {
         self.version += 1;
         self.history.push((self.version, key.to_owned(), None));
     }
 
-    pub fn call(&mut self, now: u64, asker: Asker, request: StoreRequest) -> Vec<Answer> {
+    pub fn call(&mut self, now: u64, caller: Caller, request: StoreRequest) -> Vec<Answer> {
         self.calls += 1;
-        self.callers.insert(asker.0);
-        let (node, boot, feed) = asker;
+        self.callers.insert(caller.0);
+        let (node, boot, feed) = caller;
         let reply = match request {
             _ if self.is_down => StoreReply::Unknown,
             StoreRequest::List { prefix } => self.list(prefix.as_str()),
-            StoreRequest::Watch { from, .. } if from.get() < self.kept_from => StoreReply::TooOld,
+            StoreRequest::Watch { from, .. } if from.get() < self.oldest_watch_version => {
+                StoreReply::TooOld
+            }
             StoreRequest::Watch { prefix, from, wait_ms } => {
                 let prefix = prefix.as_str().to_owned();
-                self.watches.push(Watch { asker, prefix, from: from.get(), until: now + wait_ms });
+                self.watches.push(Watch { caller, prefix, from: from.get(), until: now + wait_ms });
                 return Vec::new();
             }
             _ => StoreReply::NotDone,
@@ -65,13 +66,13 @@
         vec![(node, boot, feed, reply)]
     }
 
-    /// Watches that have something to say by now.
+    /// Returns the answers of watches with changes or an expired wait.
     pub fn due(&mut self, now: u64) -> Vec<Answer> {
         let watches = std::mem::take(&mut self.watches);
         let mut answers = Vec::new();
         for watch in watches {
             let changes = self.changes(&watch.prefix, watch.from);
-            let (node, boot, feed) = watch.asker;
+            let (node, boot, feed) = watch.caller;
             if self.is_down {
                 answers.push((node, boot, feed, StoreReply::Unknown));
             } else if !changes.is_empty() || watch.until <= now {
@@ -104,12 +105,12 @@
 
     fn changes(&self, prefix: &str, from: u64) -> Vec<ObjectChange> {
         let start = self.history.partition_point(|(version, _, _)| *version <= from);
-        let news = self.history[start..].iter().filter(|(_, key, _)| key.starts_with(prefix));
+        let updates = self.history[start..].iter().filter(|(_, key, _)| key.starts_with(prefix));
         let change = |(version, key, value): &(u64, String, Option<String>)| ObjectChange {
             key: ObjectKey::new(key.as_str()),
             version: ObjectVersion::new(*version),
             value: value.as_deref().map(Into::into),
         };
-        news.map(change).collect()
+        updates.map(change).collect()
     }
 }
--- a/crates/spread/tests/in_force.rs
+++ b/crates/spread/tests/in_force.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! A configuration is in force on every node within a bound and never reverts.
 
 mod common;
 
@@ -7,14 +7,13 @@
 
 const SEEDS: std::ops::Range<u64> = 0..20;
 
-/// What the users ask for.
+/// Longest time from a write until it is in force on every node.
 const IN_FORCE_MS: u64 = 8_000;
 
-/// Longest time a node that is cut off goes on vouching: `vouch_ms`, and one millisecond since
-/// the age has to pass it.
+/// Time after which a node that is cut off no longer confirms: just beyond `vouch_ms`.
 const CUT_OFF_MS: u64 = 6_001;
 
-fn settled(count: usize, data_centres: usize, seed: u64) -> World {
+fn converged(count: usize, data_centres: usize, seed: u64) -> World {
     let mut world = World::new(count, data_centres, seed);
     world.store.write(KEY, "first");
     world.run_ms(10_000);
@@ -25,13 +24,13 @@
     world
 }
 
-/// Milliseconds from each write to its being in force, or overtaken, at each node.
+/// Returns the milliseconds from each write until it, or a later one, is in force, for each node.
 fn delays(world: &World, writes: &[(u64, u64)], nodes: impl Iterator<Item = usize>) -> Vec<u64> {
     let mut delays: Vec<u64> = nodes
         .flat_map(|node| {
-            let came = &world.in_force[node];
+            let arrivals = &world.in_force[node];
             writes.iter().map(move |(version, at)| {
-                let first = came.range(version..).map(|(_, when)| *when).min();
+                let first = arrivals.range(version..).map(|(_, when)| *when).min();
                 first.map_or(u64::MAX, |when| when.saturating_sub(*at))
             })
         })
@@ -58,7 +57,7 @@
 
 #[test]
 fn changes_in_force_at_8_nodes() {
-    let mut world = settled(8, 3, 1);
+    let mut world = converged(8, 3, 1);
     let writes = write_many(&mut world, 1_000, 700);
     world.run_ms(IN_FORCE_MS);
     let delays = delays(&world, &writes, 0..8);
@@ -69,7 +68,7 @@
 
 #[test]
 fn changes_in_force_at_340_nodes() {
-    let mut world = settled(340, 10, 2);
+    let mut world = converged(340, 10, 2);
     let writes = write_many(&mut world, 20, 1_500);
     world.run_ms(IN_FORCE_MS);
     let delays = delays(&world, &writes, 0..340);
@@ -78,12 +77,12 @@
     assert_eq!(world.reverted, 0);
 }
 
-// The Object API answers lists from an old state, and a fresh node reads one. It may hold the old
-// configuration for a moment, but it may not vouch for it: callers would get an old answer.
+// A restarted node reads a stale list from the Object API and serves callers with an old
+// configuration.
 #[test]
-fn old_read_not_vouched() {
+fn stale_read_not_confirmed() {
     for seed in SEEDS {
-        let mut world = settled(8, 3, seed);
+        let mut world = converged(8, 3, seed);
         let old = world.store.write(KEY, "old");
         world.run_ms(5_000);
         world.store.write(KEY, "new");
@@ -92,10 +91,10 @@
         world.restart(0, seed + 900);
         for _ in 0..300 {
             world.run_ms(20);
-            let is_old = world.value(0).as_deref() != Some("new");
+            let is_stale = world.value(0).as_deref() != Some("new");
             assert!(
-                !(is_old && world.confirmation(0).allows_serving()),
-                "seed {seed}: vouches for an old read"
+                !(is_stale && world.confirmation(0).allows_serving()),
+                "seed {seed}: confirms a stale read"
             );
         }
         assert!(world.confirmation(0).allows_serving(), "seed {seed}");
@@ -103,48 +102,47 @@
     }
 }
 
-// One node loses its links to peers and Object API. Operators change the configuration meanwhile.
-// The node cannot know, so it must stop taking requests within seconds, and come back after.
+// A node that is cut off from its peers and the Object API goes on serving with a configuration
+// that has been replaced.
 #[test]
-fn cut_off_node_stops_vouching() {
+fn cut_off_node_stops_serving() {
     for seed in SEEDS {
-        let mut world = settled(8, 3, seed);
+        let mut world = converged(8, 3, seed);
         let cut = (seed % 8) as usize;
-        world.regroup([cut], 1);
+        world.partition([cut], 1);
         world.run_ms(CUT_OFF_MS);
         world.store.write(KEY, "unseen");
         assert_eq!(world.confirmation(cut), Confirmation::Withheld, "seed {seed}");
         world.run_ms(60_000);
         assert_eq!(world.confirmation(cut), Confirmation::Withheld, "seed {seed}");
-        world.regroup([cut], 0);
+        world.partition([cut], 0);
         world.run_ms(10_000);
         assert_eq!(world.confirmation(cut), Confirmation::Confirmed, "seed {seed}");
         assert_eq!(world.value(cut).as_deref(), Some("unseen"), "seed {seed}");
     }
 }
 
-// The same cut, while the node's membership still believes everybody alive. Having heard nobody
-// for seconds must be enough for it to stop.
+// A node that is cut off goes on serving because its membership still shows all peers as alive.
 #[test]
 fn cut_off_node_with_slow_membership() {
     for seed in SEEDS {
-        let mut world = settled(8, 3, seed);
+        let mut world = converged(8, 3, seed);
         world.membership_lag_ms = 60_000;
         let cut = (seed % 8) as usize;
-        world.regroup([cut], 1);
+        world.partition([cut], 1);
         world.run_ms(CUT_OFF_MS);
         assert_eq!(world.confirmation(cut), Confirmation::Withheld, "seed {seed}");
     }
 }
 
-// A data centre of three nodes out of eight is cut off together. Its nodes hear each other, so
-// hearing somebody must not be enough for them to take the cut for an outage.
+// A minority that is cut off together takes the partition for an outage of the Object API, since
+// its nodes still reach each other.
 #[test]
-fn cut_off_minority_stops_vouching() {
+fn cut_off_minority_stops_serving() {
     for seed in SEEDS {
-        let mut world = settled(8, 3, seed);
+        let mut world = converged(8, 3, seed);
         let minority = [0, 3, 6];
-        world.regroup(minority, 1);
+        world.partition(minority, 1);
         world.run_ms(CUT_OFF_MS);
         for node in minority {
             assert_eq!(
@@ -163,12 +161,12 @@
     }
 }
 
-// The Object API is down for an hour. Nothing can be accepted meanwhile, so every node must go on
-// serving; one that is replaced in the outage gets the configuration from its peers.
+// Nodes stop serving during a long outage of the Object API, or one restarted in it does not get
+// the configuration from its peers.
 #[test]
-fn outage_for_an_hour_serves_on() {
+fn outage_for_an_hour_keeps_serving() {
     for seed in 0..5 {
-        let mut world = settled(8, 3, seed);
+        let mut world = converged(8, 3, seed);
         world.store.write(KEY, "last before");
         world.run_ms(3_000);
         world.store.is_down = true;
@@ -201,12 +199,11 @@
     }
 }
 
-// A fresh node boots in an outage and first meets a peer that is behind. It must not serve what
-// that peer holds until others have said that there is nothing newer.
+// A node that starts during an outage serves the old configuration of a stale peer.
 #[test]
-fn boot_in_outage_from_peer_behind() {
+fn boot_in_outage_from_stale_peer() {
     for seed in SEEDS {
-        let mut world = settled(8, 3, seed);
+        let mut world = converged(8, 3, seed);
         // Node 5 misses the last change, and the outage begins.
         world.down.insert(5);
         world.store.write(KEY, "newest");
@@ -216,20 +213,19 @@
         world.restart(2, seed + 31);
         for _ in 0..500 {
             world.run_ms(20);
-            let is_old = world.value(2).as_deref() != Some("newest");
-            assert!(!(is_old && world.confirmation(2).allows_serving()), "seed {seed}");
+            let is_stale = world.value(2).as_deref() != Some("newest");
+            assert!(!(is_stale && world.confirmation(2).allows_serving()), "seed {seed}");
         }
         assert_eq!(world.confirmation(2), Confirmation::Outage, "seed {seed}");
     }
 }
 
-// A fresh node boots in an outage and reaches only one peer, which is behind, while membership
-// still shows it everybody. One agreeing peer must not be enough for it to vouch
-// once the peer's own proof has run out.
+// A node that starts during an outage and reaches only a stale peer goes on confirming the old
+// configuration after that peer's confirmation has expired.
 #[test]
-fn boot_in_outage_reaches_only_peer_behind() {
+fn boot_in_outage_reaching_only_stale_peer() {
     for seed in SEEDS {
-        let mut world = settled(8, 3, seed);
+        let mut world = converged(8, 3, seed);
         world.down.insert(5);
         world.store.write(KEY, "newest");
         let overtaken_at = world.now;
@@ -237,22 +233,24 @@
         world.store.is_down = true;
         world.down.remove(&5);
         world.restart(2, seed + 31);
-        world.regroup([2, 5], 1);
+        world.partition([2, 5], 1);
         for _ in 0..500 {
             world.run_ms(20);
-            let is_old = world.value(2).as_deref() != Some("newest");
+            let is_stale = world.value(2).as_deref() != Some("newest");
             let is_late = world.now > overtaken_at + CUT_OFF_MS;
-            assert!(!(is_old && is_late && world.confirmation(2).allows_serving()), "seed {seed}");
+            assert!(
+                !(is_stale && is_late && world.confirmation(2).allows_serving()),
+                "seed {seed}"
+            );
         }
     }
 }
 
-// The only two relays die and membership is slow to see it. A change accepted meanwhile must
-// still be in force on the others in time: they read the Object API themselves.
+// Both relays fail, membership still lists them, and a change does not reach the other nodes.
 #[test]
 fn relays_dead_change_in_force() {
     for seed in SEEDS {
-        let mut world = settled(6, 1, seed);
+        let mut world = converged(6, 1, seed);
         world.down.extend([0, 1]);
         world.store.write(KEY, "meanwhile");
         world.run_ms(IN_FORCE_MS);
@@ -262,16 +260,16 @@
     }
 }
 
-// Both relays of a data centre die at once. The other nodes there must not go out of service:
-// membership names new relays, and until then they ask others and read for themselves.
+// Both relays of a data centre fail and the other nodes there stop serving until membership names
+// new relays.
 #[test]
-fn relays_dead_serves_on() {
+fn relays_dead_keeps_serving() {
     for seed in SEEDS {
-        let mut world = settled(12, 3, seed);
+        let mut world = converged(12, 3, seed);
         world.down.extend([0, 3]);
         for step in 0..400 {
             if step == 200 {
-                world.surround();
+                world.update_fleet_views();
             }
             world.run_ms(25);
             for node in [6, 9] {
@@ -284,10 +282,10 @@
     }
 }
 
-// An object is deleted and a node that missed it compares with one that did not.
+// A node that missed a deletion brings the object back when it compares versions with a peer.
 #[test]
 fn deleted_object_stays_deleted() {
-    let mut world = settled(8, 3, 4);
+    let mut world = converged(8, 3, 4);
     world.store.write("placement/a", "replicas");
     world.run_ms(5_000);
     world.down.insert(7);
@@ -300,31 +298,30 @@
     }
 }
 
-// An object is deleted during an outage that outlasts the store's history. Nobody saw the deletion
-// in a watch; the listing that follows must show it.
+// A deletion that no watch reported, because the store's history was truncated, is missed by the
+// listing that follows.
 #[test]
 fn deletion_missed_by_watches() {
-    let mut world = settled(8, 3, 5);
+    let mut world = converged(8, 3, 5);
     world.store.write("placement/a", "replicas");
     world.run_ms(5_000);
     world.store.is_down = true;
     world.run_ms(3_000);
     world.store.delete("placement/a");
-    world.store.kept_from = world.store.write("placement/b", "others");
+    world.store.oldest_watch_version = world.store.write("placement/b", "others");
     world.store.is_down = false;
     world.run_ms(15_000);
     for node in 0..8 {
-        let held: Vec<_> = world.nodes[node].cache().with_prefix("placement/").collect();
-        assert_eq!(held.len(), 1, "node {node}: {held:?}");
+        let objects: Vec<_> = world.nodes[node].cache().with_prefix("placement/").collect();
+        assert_eq!(objects.len(), 1, "node {node}: {objects:?}");
     }
 }
 
-// An operator changes the configuration. No node may stop serving for it, not for a moment: the
-// callers of a node that waits for its next proof would be refused at every change.
+// A configuration change interrupts service on nodes that wait for their next confirmation.
 #[test]
-fn change_interrupts_nobody() {
+fn change_keeps_all_nodes_serving() {
     for seed in SEEDS {
-        let mut world = settled(12, 3, seed);
+        let mut world = converged(12, 3, seed);
         for change in 0..10 {
             world.store.write(KEY, &format!("change {change}"));
             for _ in 0..100 {
@@ -337,13 +334,13 @@
     }
 }
 
-// The Object API goes down. Evidence runs out on all nodes within seconds of each other, and each
-// must by then know from enough others that none holds anything newer. None may stop serving.
+// A node stops serving at the start of an outage because its confirmation expires before enough
+// peers have agreed.
 #[test]
-fn outage_begins_interrupts_nobody() {
+fn outage_start_keeps_all_nodes_serving() {
     for count in [2, 4, 8, 40] {
         for seed in SEEDS {
-            let mut world = settled(count, 3, seed);
+            let mut world = converged(count, 3, seed);
             world.store.is_down = true;
             for step in 0..1_000 {
                 world.run_ms(20);
