--- a/crates/membership/examples/silent_member.rs
+++ b/crates/membership/examples/silent_member.rs
@@ -1,4 +1,4 @@
-//! One of four members falls silent: the others suspect it, then hold it for dead; later it returns.
+//! One of four members falls silent: the others suspect it, declare it dead, and it returns later.
 //!
 //! Run with `cargo run -p celeryhaven-membership --example silent_member`.
 
@@ -22,21 +22,21 @@
     Membership::new(TimeMs::new(0), me, settings, u64::from(index)).with_seeds(seeds)
 }
 
-/// Messages under way; each arrives one step after it was sent.
+/// Messages in transit; each arrives one step after it was sent.
 #[derive(Default)]
 struct Network {
     packets: VecDeque<(NodeName, SocketAddr, Message)>,
 }
 
 impl Network {
-    fn carry_out(&mut self, now: TimeMs, from: &NodeName, actions: Vec<MembershipAction>) {
+    fn execute(&mut self, now: TimeMs, from: &NodeName, actions: Vec<MembershipAction>) {
         for action in actions {
             match action {
                 MembershipAction::Send { to, message } => {
                     self.packets.push_back((from.clone(), to, message));
                 }
                 MembershipAction::Changed { member, state } => {
-                    println!("{:>6} ms: {from} holds {} for {state:?}", now.get(), member.node());
+                    println!("{:>6} ms: {from} sees {} as {state:?}", now.get(), member.node());
                 }
                 MembershipAction::Superseded { by } => println!("{from} is replaced by {by:?}"),
             }
@@ -53,7 +53,7 @@
             let mut actions = Vec::new();
             receiver.receive_message(now, &from, message, &mut actions);
             let name = receiver.me().node().clone();
-            self.carry_out(now, &name, actions);
+            self.execute(now, &name, actions);
         }
     }
 }
@@ -71,7 +71,7 @@
             }
             let mut actions = Vec::new();
             member.tick(now, &mut actions);
-            network.carry_out(now, &member.me().node().clone(), actions);
+            network.execute(now, &member.me().node().clone(), actions);
         }
     }
     for member in &members {
--- a/crates/membership/src/detector/action.rs
+++ b/crates/membership/src/detector/action.rs
@@ -7,26 +7,26 @@
 use crate::message::Message;
 
 state! {
-    /// What membership wants done, or has found out.
+    /// An action for the driver to execute, or a change that was detected.
     pub enum MembershipAction {
-        /// Send a message; it may be lost.
+        /// Send a message; delivery is not guaranteed.
         Send {
-            /// Where the receiver's peer link listens.
+            /// Address of the receiver's peer link.
             to: SocketAddr,
             /// The message.
             message: Message,
         },
-        /// What is believed of a member has changed.
+        /// The state or description of a member has changed.
         Changed {
             /// The member.
             member: Member,
-            /// What is believed from now on.
+            /// Its state after the change.
             state: MemberState,
         },
-        /// A later start of this very node is a member: this process has been replaced while it
-        /// was away, and must stop serving.
+        /// A later boot of this node is a member: this process has been replaced and must stop
+        /// serving.
         Superseded {
-            /// The later start.
+            /// The later boot.
             by: Incarnation,
         },
     }
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine that drivers use.
+//! The state machine and its actions.
 
 mod action;
 mod membership;
--- a/crates/membership/src/detector/receiving.rs
+++ b/crates/membership/src/detector/receiving.rs
@@ -1,19 +1,19 @@
 use celeryhaven_types::{NodeName, TimeMs};
 
-use crate::detector::membership::Relayed;
+use crate::detector::membership::IndirectPing;
 use crate::detector::{Membership, MembershipAction};
 use crate::member::{MemberState, MembershipUpdate};
 use crate::message::{Message, Probe};
-use crate::table::{Heard, MemberKey};
+use crate::table::{MemberKey, UpdateOutcome};
 
-/// Rumours in one part of the answer to a join.
-const MEMBERS_PER_PART: usize = 12;
+/// Updates in one message of the answer to a join.
+const MEMBERS_PER_MESSAGE_MAX: usize = 12;
 
-/// Messages of other nodes.
+/// Messages from other nodes.
 impl Membership {
-    /// Takes a message that came from `from`, the name in its certificate.
+    /// Processes a message from `from`, the name in its certificate.
     ///
-    /// What a message says of its own sender counts only if the names agree.
+    /// The sender's own update in the message is ignored unless its name is `from`.
     pub fn receive_message(
         &mut self,
         now: TimeMs,
@@ -23,69 +23,73 @@
     ) {
         self.last_contact = Some(now);
         let sender = message.sender().filter(|me| me.member.node() == from);
-        if sender.is_some_and(|sender| self.tell_superseded(sender, out)) {
+        if sender.is_some_and(|sender| self.notify_superseded(sender, out)) {
             return;
         }
-        let is_news = !matches!(message, Message::Members { .. });
-        for rumour in sender.into_iter().chain(message.updates()) {
-            self.take_rumour(now, rumour, is_news, out);
+        let is_new = !matches!(message, Message::Members { .. });
+        for update in sender.into_iter().chain(message.updates()) {
+            self.handle_update(now, update, is_new, out);
         }
         let Some(key) = self.members.key(from) else { return };
-        if std::mem::take(&mut self.refuted) {
-            // The sender may have missed the refutation that others have: tell it directly.
+        if std::mem::take(&mut self.refutation_due) {
+            // The sender may have missed an earlier refutation.
             self.send_to(key, Message::Gossip { rumours: vec![self.me.clone()] }, out);
         }
         match message {
-            Message::Ping { probe, .. } => self.answer(key, probe, out),
-            Message::Ack { probe, .. } => self.answered(now, probe, out),
-            Message::PingFor { probe, target } => self.ping_for(now, key, probe, &target, out),
-            Message::Join { .. } => self.welcome(key, out),
+            Message::Ping { probe, .. } => self.send_ack(key, probe, out),
+            Message::Ack { probe, .. } => self.handle_ack(now, probe, out),
+            Message::PingFor { probe, target } => self.ping_for_peer(now, key, probe, &target, out),
+            Message::Join { .. } => self.send_members(key, out),
             Message::Gossip { .. } | Message::Members { .. } => {}
         }
     }
 
-    /// Tells membership of a member that was learnt of elsewhere, such as from the VM list.
+    /// Applies an update from another source, such as the VM list.
     pub fn apply_update(
         &mut self,
         now: TimeMs,
-        rumour: &MembershipUpdate,
+        update: &MembershipUpdate,
         out: &mut Vec<MembershipAction>,
     ) {
-        self.take_rumour(now, rumour, true, out);
+        self.handle_update(now, update, true, out);
     }
 
-    /// Takes a rumour; `is_news` says whether others may not know it yet.
+    /// Applies an update and forwards it if `is_new`.
     ///
-    /// The members that a fresh node is told are no news: were each passed on, a fleet that starts
-    /// together would send every rumour from every node for ten minutes.
-    fn take_rumour(
+    /// Members listed in the answer to a join are not forwarded; otherwise a fleet that starts
+    /// together would send the updates of all members from every node.
+    fn handle_update(
         &mut self,
         now: TimeMs,
-        rumour: &MembershipUpdate,
-        is_news: bool,
+        update: &MembershipUpdate,
+        is_new: bool,
         out: &mut Vec<MembershipAction>,
     ) {
-        if rumour.member.node() == self.me.member.node() {
-            return self.hear_of_myself(now, rumour, out);
+        if update.member.node() == self.me.member.node() {
+            return self.handle_update_about_self(now, update, out);
         }
-        let known_before = self.members.key(rumour.member.node()).is_some();
-        let Heard::Changed(key) = self.members.hear(now, rumour) else { return };
-        if is_news {
-            self.rumours.push(key);
+        let was_known = self.members.key(update.member.node()).is_some();
+        let UpdateOutcome::Applied(key) = self.members.apply(now, update) else { return };
+        if is_new {
+            self.gossip_queue.push(key);
         }
-        if !known_before {
+        if !was_known {
             self.order.insert(&mut self.rng, key);
         }
-        let (member, state) = (rumour.member.clone(), rumour.state);
+        let (member, state) = (update.member.clone(), update.state);
         out.push(MembershipAction::Changed { member, state });
     }
 
-    /// Tells a sender that a later start of its node is known.
+    /// Notifies a sender if a later boot of its node is known; returns whether it is.
     ///
-    /// Answers to it would go to its successor's address, so it is told at its own.
-    fn tell_superseded(&self, sender: &MembershipUpdate, out: &mut Vec<MembershipAction>) -> bool {
+    /// The message goes to the sender's own address, since the table has that of its successor.
+    fn notify_superseded(
+        &self,
+        sender: &MembershipUpdate,
+        out: &mut Vec<MembershipAction>,
+    ) -> bool {
         let Some(known) = self.members.find(sender.member.node()) else { return false };
-        let known = &known.rumour;
+        let known = &known.update;
         if known.member.incarnation.boot <= sender.member.incarnation.boot {
             return false;
         }
@@ -94,75 +98,80 @@
         true
     }
 
-    /// Refutes what others believe of this node, or learns that it has been replaced.
+    /// Refutes an update that reports this node as suspect, dead or left, or detects that the node
+    /// has been replaced.
     ///
-    /// Failure: a process that was paused past its VM's replacement wakes and serves beside its
-    /// successor under the same name. It shows as two nodes answering for one name. The guard
-    /// holds since a successor has a later boot, which overrides this node's word everywhere, and
-    /// every probe of this node is answered with it.
-    fn hear_of_myself(
+    /// Prevents a process that resumes after its VM was replaced from serving next to its
+    /// successor: the later boot overrides this one on every member.
+    fn handle_update_about_self(
         &mut self,
         now: TimeMs,
-        rumour: &MembershipUpdate,
+        update: &MembershipUpdate,
         out: &mut Vec<MembershipAction>,
     ) {
-        let by = &rumour.member.incarnation;
+        let by = &update.member.incarnation;
         if by.boot > self.me.member.incarnation.boot {
             self.superseded = true;
             out.push(MembershipAction::Superseded { by: by.clone() });
             return;
         }
-        let about_this_boot = by.boot == self.me.member.incarnation.boot;
-        let wrong = rumour.state != MemberState::Alive && self.me.state == MemberState::Alive;
-        if !(about_this_boot && wrong) {
+        let is_about_this_boot = by.boot == self.me.member.incarnation.boot;
+        let is_wrong = update.state != MemberState::Alive && self.me.state == MemberState::Alive;
+        if !(is_about_this_boot && is_wrong) {
             return;
         }
-        if rumour.refutation >= self.me.refutation {
-            self.me.refutation = rumour.refutation;
-            self.restate(now);
+        if update.refutation >= self.me.refutation {
+            self.me.refutation = update.refutation;
+            self.publish_own_state(now);
         }
-        self.refuted = true;
+        self.refutation_due = true;
     }
 
-    fn answer(&mut self, sender: MemberKey, probe: Probe, out: &mut Vec<MembershipAction>) {
-        let rumours = self.rumours_for(Some(sender));
+    fn send_ack(&mut self, sender: MemberKey, probe: Probe, out: &mut Vec<MembershipAction>) {
+        let rumours = self.updates_for(Some(sender));
         self.send_to(sender, Message::Ack { probe, rumours }, out);
     }
 
-    fn answered(&mut self, now: TimeMs, probe: Probe, out: &mut Vec<MembershipAction>) {
-        if self.under_way.as_ref().is_some_and(|under_way| under_way.probe == probe) {
-            self.under_way = None;
+    fn handle_ack(&mut self, now: TimeMs, probe: Probe, out: &mut Vec<MembershipAction>) {
+        if self.pending_probe.as_ref().is_some_and(|pending| pending.probe == probe) {
+            self.pending_probe = None;
         }
-        let Some(place) = self.relayed.iter().position(|relayed| relayed.own_probe == probe) else {
+        let Some(index) = self.indirect_pings.iter().position(|ping| ping.own_probe == probe)
+        else {
             return;
         };
-        let relayed = self.relayed.swap_remove(place);
-        if now.since(relayed.since) < self.settings.probe_period_ms {
-            let message = Message::Ack { probe: relayed.their_probe, rumours: Vec::new() };
-            self.send_to(relayed.asker, message, out);
+        let ping = self.indirect_pings.swap_remove(index);
+        if now.since(ping.since) < self.settings.probe_period_ms {
+            let message = Message::Ack { probe: ping.requester_probe, rumours: Vec::new() };
+            self.send_to(ping.requester, message, out);
         }
     }
 
-    fn ping_for(
+    fn ping_for_peer(
         &mut self,
         now: TimeMs,
-        asker: MemberKey,
-        their_probe: Probe,
+        requester: MemberKey,
+        requester_probe: Probe,
         target: &NodeName,
         out: &mut Vec<MembershipAction>,
     ) {
         let Some(key) = self.members.key(target) else { return };
-        let own_probe = self.take_probe_number();
-        self.relayed.push(Relayed { own_probe, their_probe, asker, since: now });
-        let rumours = self.rumours_for(Some(key));
+        let own_probe = self.next_probe_number();
+        self.indirect_pings.push(IndirectPing {
+            own_probe,
+            requester_probe,
+            requester,
+            since: now,
+        });
+        let rumours = self.updates_for(Some(key));
         let me = self.me.clone();
         self.send_to(key, Message::Ping { probe: own_probe, me, rumours }, out);
     }
 
-    fn welcome(&mut self, joiner: MemberKey, out: &mut Vec<MembershipAction>) {
+    fn send_members(&mut self, joiner: MemberKey, out: &mut Vec<MembershipAction>) {
         let all: Vec<MembershipUpdate> =
-            self.members.iter().map(|(_, record)| record.rumour.clone()).collect();
-        for part in all.chunks(MEMBERS_PER_PART) {
+            self.members.iter().map(|(_, record)| record.update.clone()).collect();
+        for part in all.chunks(MEMBERS_PER_MESSAGE_MAX) {
             self.send_to(joiner, Message::Members { rumours: part.to_vec() }, out);
         }
     }
--- a/crates/membership/src/detector/ticking.rs
+++ b/crates/membership/src/detector/ticking.rs
@@ -3,128 +3,124 @@
 use crate::detector::{Membership, MembershipAction};
 use crate::member::MemberState;
 use crate::message::{Message, Probe};
-use crate::probing::{ProbeStage, UnderWay};
+use crate::probing::{PendingProbe, ProbeStage};
 use crate::table::MemberKey;
 
-/// Relayed pings are dropped after this many probe periods.
-const RELAY_PERIODS: u64 = 2;
+/// Probe periods after which a ping on behalf of another node is dropped.
+const INDIRECT_PING_TIMEOUT_PERIODS: u64 = 2;
 
-/// Passing of time.
+/// Timers.
 impl Membership {
-    /// Probes, suspects and declares dead what is due.
+    /// Processes timers that are due: probes, suspicions and gossip.
     pub fn tick(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
-        self.excuse_own_pause(now, out);
+        self.handle_own_pause(now, out);
         self.last_tick = now;
         self.advance_probe(now, out);
-        self.end_suspicions(now, out);
-        self.gossip_news(now, out);
+        self.expire_suspicions(now, out);
+        self.gossip_updates(now, out);
         if now >= self.next_probe_at {
             self.next_probe_at = now.after(self.settings.probe_period_ms);
             self.begin_probe(now, out);
-            self.clean_up(now);
+            self.remove_expired(now);
         }
     }
 
-    pub(crate) fn stage_end(&self, probe: &UnderWay) -> TimeMs {
+    pub(crate) fn stage_end(&self, probe: &PendingProbe) -> TimeMs {
         match probe.stage {
             ProbeStage::Direct => probe.since.after(self.settings.ack_timeout_ms),
             ProbeStage::Indirect => probe.since.after(self.settings.probe_period_ms),
         }
     }
 
-    /// Drops what this node was waiting for if it was itself away.
+    /// Drops the pending probe and restarts all suspicions after a pause of this process.
     ///
-    /// Failure: a process paused for seconds finds, on waking, that every probe and suspicion has
-    /// run out, declares healthy members dead and has the fleet re-route. It shows as members
-    /// flapping after one VM's pause. Answers wait in the socket and are read after the tick, so
-    /// the guard holds by starting every wait anew. Refutations of the time away may be lost, so
-    /// each suspect is asked for another one.
-    fn excuse_own_pause(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
+    /// Prevents a resumed process from declaring healthy members dead before it has read their
+    /// answers. Refutations sent during the pause may be lost, so each suspect is asked again.
+    fn handle_own_pause(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
         if now.since(self.last_tick) <= self.settings.own_pause_ms {
             return;
         }
-        self.under_way = None;
+        self.pending_probe = None;
         let suspects: Vec<MemberKey> = self.with_state(MemberState::Suspect);
         for key in suspects {
-            self.members.believe(now, key, MemberState::Suspect);
-            self.ask_to_refute(key, out);
+            self.members.set_state(now, key, MemberState::Suspect);
+            self.request_refutation(key, out);
         }
     }
 
     fn advance_probe(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
-        let Some(probe) = self.under_way.clone() else { return };
+        let Some(probe) = self.pending_probe.clone() else { return };
         if now < self.stage_end(&probe) {
             return;
         }
         match probe.stage {
-            ProbeStage::Direct => self.ask_others(probe, out),
+            ProbeStage::Direct => self.send_indirect_probes(probe, out),
             ProbeStage::Indirect => {
-                self.under_way = None;
+                self.pending_probe = None;
                 self.suspect(now, probe.target, out);
             }
         }
     }
 
-    fn ask_others(&mut self, mut probe: UnderWay, out: &mut Vec<MembershipAction>) {
+    fn send_indirect_probes(&mut self, mut probe: PendingProbe, out: &mut Vec<MembershipAction>) {
         let Some(target) = self.members.get(probe.target) else { return };
-        let target = target.rumour.member.node().clone();
-        for helper in self.some_others(self.settings.indirect_probes, Some(probe.target)) {
+        let target = target.update.member.node().clone();
+        for helper in self.random_live_members(self.settings.indirect_probes, Some(probe.target)) {
             let message = Message::PingFor { probe: probe.probe, target: target.clone() };
             self.send_to(helper, message, out);
         }
         probe.stage = ProbeStage::Indirect;
-        self.under_way = Some(probe);
+        self.pending_probe = Some(probe);
     }
 
     fn suspect(&mut self, now: TimeMs, key: MemberKey, out: &mut Vec<MembershipAction>) {
-        if self.members.get(key).is_some_and(|r| r.rumour.state == MemberState::Alive) {
-            self.believe(now, key, MemberState::Suspect, out);
+        if self.members.get(key).is_some_and(|r| r.update.state == MemberState::Alive) {
+            self.set_state(now, key, MemberState::Suspect, out);
         }
     }
 
-    fn ask_to_refute(&self, key: MemberKey, out: &mut Vec<MembershipAction>) {
-        let rumours = self.members.get(key).map(|record| record.rumour.clone());
+    fn request_refutation(&self, key: MemberKey, out: &mut Vec<MembershipAction>) {
+        let rumours = self.members.get(key).map(|record| record.update.clone());
         let message = Message::Gossip { rumours: rumours.into_iter().collect() };
         self.send_to(key, message, out);
     }
 
-    fn end_suspicions(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
+    fn expire_suspicions(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
         let suspect_ms = self.settings.suspect_ms;
         for key in self.with_state(MemberState::Suspect) {
             let due = self.members.get(key).is_some_and(|r| now.since(r.since) >= suspect_ms);
             if due {
-                self.believe(now, key, MemberState::Dead, out);
+                self.set_state(now, key, MemberState::Dead, out);
             }
         }
     }
 
-    fn believe(
+    fn set_state(
         &mut self,
         now: TimeMs,
         key: MemberKey,
         state: MemberState,
         out: &mut Vec<MembershipAction>,
     ) {
-        self.members.believe(now, key, state);
-        self.rumours.push(key);
+        self.members.set_state(now, key, state);
+        self.gossip_queue.push(key);
         if let Some(record) = self.members.get(key) {
-            let member = record.rumour.member.clone();
+            let member = record.update.member.clone();
             out.push(MembershipAction::Changed { member, state });
         }
     }
 
-    /// Sends fresh news to a few members at once.
+    /// Sends updates that have not been sent yet to `gossip_fanout` members.
     ///
-    /// Failure: a refutation that travels with probes alone takes longer than the suspicion it
-    /// refutes, and a member paused for two seconds is declared dead. Each node forwards each piece of news once to `gossip_fanout` others, so news
-    /// doubles its reach in one delay; the interval bounds the cost when many members change.
-    fn gossip_news(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
-        if now < self.next_gossip_at || !self.rumours.has_fresh() {
+    /// Piggybacked on probes alone, a refutation can take longer than the suspicion timeout. The
+    /// interval limits the load when many members change.
+    fn gossip_updates(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
+        if now < self.next_gossip_at || !self.gossip_queue.has_fresh() {
             return;
         }
         self.next_gossip_at = now.after(self.settings.gossip_interval_ms);
-        let receivers = self.some_others(self.settings.gossip_fanout, None);
-        let rumours = self.rumours_for(None);
+        let receivers = self.random_live_members(self.settings.gossip_fanout, None);
+        let rumours = self.updates_for(None);
         for receiver in receivers {
             self.send_to(receiver, Message::Gossip { rumours: rumours.clone() }, out);
         }
@@ -132,13 +128,14 @@
 
     fn begin_probe(&mut self, now: TimeMs, out: &mut Vec<MembershipAction>) {
         let Some(target) = self.next_target() else {
-            // Nobody is known: a lost message must not cost a fresh node a whole period.
+            // A lost join request must not cost a new node a whole period.
             self.next_probe_at = now.after(self.settings.ack_timeout_ms);
-            return self.ask_to_join(out);
+            return self.send_join(out);
         };
-        let probe = self.take_probe_number();
-        self.under_way = Some(UnderWay { probe, target, since: now, stage: ProbeStage::Direct });
-        let rumours = self.rumours_for(Some(target));
+        let probe = self.next_probe_number();
+        self.pending_probe =
+            Some(PendingProbe { probe, target, since: now, stage: ProbeStage::Direct });
+        let rumours = self.updates_for(Some(target));
         let me = self.me.clone();
         self.send_to(target, Message::Ping { probe, me, rumours }, out);
     }
@@ -146,14 +143,15 @@
     fn next_target(&mut self) -> Option<MemberKey> {
         let members = &self.members;
         let my_key = self.my_key;
-        let may = |key: MemberKey| {
-            key != my_key && members.get(key).is_some_and(|r| r.rumour.state.is_live())
+        let is_eligible = |key: MemberKey| {
+            key != my_key && members.get(key).is_some_and(|r| r.update.state.is_live())
         };
-        let refill = || members.iter().map(|(key, _)| key).filter(|key| may(*key)).collect();
-        self.order.next(&mut self.rng, refill, may)
+        let refill =
+            || members.iter().map(|(key, _)| key).filter(|key| is_eligible(*key)).collect();
+        self.order.next(&mut self.rng, refill, is_eligible)
     }
 
-    fn ask_to_join(&mut self, out: &mut Vec<MembershipAction>) {
+    fn send_join(&mut self, out: &mut Vec<MembershipAction>) {
         let me = &self.me;
         let own = me.member.address;
         out.extend(self.seeds.iter().filter(|seed| **seed != own).map(|seed| {
@@ -161,23 +159,23 @@
         }));
     }
 
-    pub(crate) fn take_probe_number(&mut self) -> Probe {
+    pub(crate) fn next_probe_number(&mut self) -> Probe {
         let probe = self.next_probe;
         self.next_probe = probe.next();
         probe
     }
 
-    fn clean_up(&mut self, now: TimeMs) {
-        let relay_ms = RELAY_PERIODS * self.settings.probe_period_ms;
-        self.relayed.retain(|relayed| now.since(relayed.since) < relay_ms);
+    fn remove_expired(&mut self, now: TimeMs) {
+        let ping_timeout_ms = INDIRECT_PING_TIMEOUT_PERIODS * self.settings.probe_period_ms;
+        self.indirect_pings.retain(|ping| now.since(ping.since) < ping_timeout_ms);
         let remember_ms = self.settings.remember_dead_ms;
         if now.get() > remember_ms {
-            self.members.forget_ended(TimeMs::new(now.get() - remember_ms));
+            self.members.remove_ended(TimeMs::new(now.get() - remember_ms));
         }
     }
 
     fn with_state(&self, state: MemberState) -> Vec<MemberKey> {
-        let in_state = self.members.iter().filter(|(_, record)| record.rumour.state == state);
+        let in_state = self.members.iter().filter(|(_, record)| record.update.state == state);
         in_state.map(|(key, _)| key).collect()
     }
 }
--- /dev/null
+++ b/crates/membership/src/gossip/mod.rs
@@ -0,0 +1,5 @@
+//! Updates to forward.
+
+mod queue;
+
+pub(crate) use queue::GossipQueue;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,21 +1,21 @@
 //! Peer membership by gossip, without I/O.
 //!
-//! Each node probes one other node in each period, through others when it does not answer, and
-//! passes on what it knows of members with the messages it sends anyway. What a node sends and
-//! receives does not grow with the fleet. Time and randomness come in as arguments.
+//! Each node probes one other node per period, indirectly through others if it does not answer, and
+//! piggybacks membership updates on these messages. The load of a node does not grow with the
+//! fleet. The time and the seed are arguments.
 //!
 //! Source: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process
 //! Group Membership Protocol", DSN 2002.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`settings`] | periods and timeouts |
-//! | [`member`] | a member, its state, and a rumour of both |
-//! | [`message`] | what members send each other |
-//! | `table` | what is known of every member, and which rumour overrides which |
-//! | `rumours` | rumours still to be passed on |
-//! | `probing` | the order of probes and the one under way |
-//! | [`detector`] | the state machine that drivers use |
+//! | [`member`] | a member, its state, and updates of both |
+//! | [`message`] | messages between members |
+//! | `table` | the current record of every member, and the precedence of updates |
+//! | `gossip` | updates to forward |
+//! | `probing` | the probe order and the pending probe |
+//! | [`detector`] | the state machine and its actions |
 //!
 //! ```
 //! use celeryhaven_membership::{Member, Membership, MembershipSettings};
@@ -30,14 +30,14 @@
 //! assert_eq!(membership.live().count(), 1);
 //! ```
 //!
-//! A whole run in virtual time, with a member that falls silent and returns, is in
-//! `examples/silent_member.rs`: `cargo run -p celeryhaven-membership --example silent_member`.
+//! `examples/silent_member.rs` runs four members in virtual time, one of which falls silent and
+//! returns: `cargo run -p celeryhaven-membership --example silent_member`.
 
 pub mod detector;
+mod gossip;
 pub mod member;
 pub mod message;
 mod probing;
-mod rumours;
 pub mod settings;
 mod table;
 
--- a/crates/membership/src/member/identity.rs
+++ b/crates/membership/src/member/identity.rs
@@ -4,46 +4,46 @@
 use celeryhaven_types::{DataCentreName, Incarnation, NodeName};
 
 data! {
-    /// Whether a member means to stay.
+    /// Whether a member is about to stop.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum MemberPhase {
-        /// It stays.
+        /// It continues to run.
         Live,
-        /// It will stop soon: address answers leave it out, but it still serves.
+        /// It will stop soon: it still serves, but address answers omit it.
         Leaving,
     }
 
-    /// One start of one node's process, as it describes itself.
+    /// One boot of a node, as it describes itself.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Member {
-        /// Which start of which node.
+        /// Node name and boot.
         pub incarnation: Incarnation,
-        /// Where its peer link listens.
+        /// Address of its peer link.
         pub address: SocketAddr,
-        /// Where callers reach it.
+        /// Address for callers.
         pub http_address: SocketAddr,
         /// Its data centre.
         pub data_centre: DataCentreName,
-        /// Whether it means to stay.
+        /// Whether it is about to stop.
         pub phase: MemberPhase,
     }
 }
 
 impl Member {
-    /// Describes a node whose callers' address is its peer address until set.
+    /// Creates the description of a live node; its address for callers is the peer address.
     pub fn new(incarnation: Incarnation, address: SocketAddr, data_centre: DataCentreName) -> Self {
         Self { incarnation, address, http_address: address, data_centre, phase: MemberPhase::Live }
     }
 
-    /// Sets where callers reach it.
+    /// Sets the address for callers.
     pub fn with_http_address(mut self, http_address: SocketAddr) -> Self {
         self.http_address = http_address;
         self
     }
 
-    /// The node's name.
+    /// Returns the node's name.
     pub fn node(&self) -> &NodeName {
         &self.incarnation.node
     }
--- a/crates/membership/src/member/mod.rs
+++ b/crates/membership/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! A member, its state, and a rumour of both.
+//! A member, its state, and updates of both.
 
 mod identity;
 mod state;
--- a/crates/membership/src/member/state.rs
+++ b/crates/membership/src/member/state.rs
@@ -1,23 +1,23 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// What is believed of a member, from the least to the most certain of its end.
+    /// State of a member; for equal refutation counts the later variant takes precedence.
     #[derive(Copy, Eq, PartialOrd, Ord)]
     #[serde(rename_all = "snake_case")]
     pub enum MemberState {
-        /// It answers.
+        /// It answers probes.
         Alive,
-        /// It did not answer a probe, direct or indirect, and has not refuted yet.
+        /// It answered neither a direct nor an indirect probe, and has not refuted the suspicion.
         Suspect,
-        /// It did not refute in time.
+        /// It did not refute the suspicion in time.
         Dead,
-        /// It said itself that it has stopped.
+        /// It announced that it has stopped.
         Left,
     }
 }
 
 impl MemberState {
-    /// Whether it may still run.
+    /// Whether the member is alive or suspect.
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
--- a/crates/membership/src/member/update.rs
+++ b/crates/membership/src/member/update.rs
@@ -4,25 +4,25 @@
 use crate::member::{Member, MemberState};
 
 data! {
-    /// What one node says of a member.
+    /// A member and its state, as reported by a node.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct MembershipUpdate {
         /// The member as it described itself.
         pub member: Member,
-        /// What is believed of it.
+        /// Its state.
         pub state: MemberState,
-        /// How often it has refuted; only the member itself counts this up.
+        /// Refutation count; only the member itself increments it.
         pub refutation: u32,
     }
 }
 
 impl MembershipUpdate {
-    /// What decides between two rumours of the same node: the greater one holds.
+    /// Returns the precedence of this update; the greater one of the same node overrides the other.
     ///
-    /// A later boot goes before an earlier one, since a process never returns after its
-    /// successor has started. Within a boot a refutation goes before what it refutes, also before
-    /// `Dead`: a paused process that wakes is a member again.
+    /// A later boot overrides an earlier one, since a process never returns after its successor
+    /// has started. Within a boot a refutation overrides any state, including `Dead`, so that a
+    /// resumed process becomes a member again.
     pub fn precedence(&self) -> (Boot, u32, MemberState) {
         (self.member.incarnation.boot, self.refutation, self.state)
     }
--- a/crates/membership/src/message/mod.rs
+++ b/crates/membership/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! What members send each other.
+//! Messages between members.
 
 mod wire;
 
--- a/crates/membership/src/message/wire.rs
+++ b/crates/membership/src/message/wire.rs
@@ -4,57 +4,57 @@
 use crate::member::MembershipUpdate;
 
 number! {
-    /// Matches an answer to a probe of the same sender.
+    /// Correlates an answer with a probe of the same sender.
     Probe(u64)
 }
 
 data! {
-    /// A message between members; any may be lost.
+    /// A message between members; delivery is not guaranteed.
     #[serde(rename_all = "snake_case")]
     pub enum Message {
-        /// Asks for an [`Message::Ack`].
+        /// Requests an [`Message::Ack`].
         Ping {
-            /// Named in the answer.
+            /// Number of the probe, repeated in the answer.
             probe: Probe,
-            /// The sender, so that a receiver that does not know it yet can answer.
+            /// The sender's own update, so that a receiver that does not know it can answer.
             me: MembershipUpdate,
-            /// What the sender passes on.
+            /// Updates that the sender forwards.
             rumours: Vec<MembershipUpdate>,
         },
-        /// Answers a ping, or says that a node asked about has answered one.
+        /// Answers a ping, or a [`Message::PingFor`] whose target has answered.
         Ack {
-            /// As in the ping.
+            /// Number of the probe.
             probe: Probe,
-            /// What the sender passes on.
+            /// Updates that the sender forwards.
             rumours: Vec<MembershipUpdate>,
         },
-        /// Asks the receiver to ping another node for the sender.
+        /// Requests that the receiver ping another node for the sender.
         PingFor {
-            /// Named in the answer.
+            /// Number of the probe, repeated in the answer.
             probe: Probe,
             /// The node to ping.
             target: NodeName,
         },
-        /// News that cannot wait for the next ping; not answered.
+        /// Updates that are sent without a probe; not answered.
         Gossip {
-            /// What the sender passes on.
+            /// Updates that the sender forwards.
             rumours: Vec<MembershipUpdate>,
         },
-        /// A fresh node asks for everybody; answered by [`Message::Members`].
+        /// Requests all members for a new node; answered by [`Message::Members`].
         Join {
-            /// The fresh node.
+            /// The new node.
             me: MembershipUpdate,
         },
-        /// Everybody the sender knows, in parts that fit a message.
+        /// All members that the sender knows, split over several messages.
         Members {
-            /// One part.
+            /// The updates in this message.
             rumours: Vec<MembershipUpdate>,
         },
     }
 }
 
 impl Message {
-    /// The rumours it carries.
+    /// Returns the updates that the message forwards.
     pub fn updates(&self) -> &[MembershipUpdate] {
         match self {
             Self::Ping { rumours, .. }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What the sender says of itself, if it does.
+    /// Returns the sender's own update, if the message has one.
     pub fn sender(&self) -> Option<&MembershipUpdate> {
         match self {
             Self::Ping { me, .. } | Self::Join { me } => Some(me),
--- a/crates/membership/src/probing/mod.rs
+++ b/crates/membership/src/probing/mod.rs
@@ -1,7 +1,7 @@
-//! The order of probes and the one under way.
+//! The probe order and the pending probe.
 
 mod order;
-mod under_way;
+mod pending_probe;
 
 pub(crate) use order::ProbeOrder;
-pub(crate) use under_way::{ProbeStage, UnderWay};
+pub(crate) use pending_probe::{PendingProbe, ProbeStage};
--- a/crates/membership/src/probing/order.rs
+++ b/crates/membership/src/probing/order.rs
@@ -4,36 +4,35 @@
 
 use crate::table::MemberKey;
 
-/// Probes every member once in a random order before any twice.
+/// Random order in which every member is probed once per round.
 ///
-/// A random choice each time would leave some member unprobed for long; a fixed order would have
-/// every node probe the same one.
+/// Bounds the time until a member is probed, while nodes do not all probe the same member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeOrder {
-    left: Vec<MemberKey>,
+    remaining: Vec<MemberKey>,
 }
 
 impl ProbeOrder {
-    /// The next member to probe; `refill` lists those who may be.
+    /// Returns the next eligible member; `refill` lists the members of a new round.
     pub(crate) fn next(
         &mut self,
         rng: &mut SmallRng,
         refill: impl Fn() -> Vec<MemberKey>,
-        may: impl Fn(MemberKey) -> bool,
+        is_eligible: impl Fn(MemberKey) -> bool,
     ) -> Option<MemberKey> {
-        while let Some(key) = self.left.pop() {
-            if may(key) {
+        while let Some(key) = self.remaining.pop() {
+            if is_eligible(key) {
                 return Some(key);
             }
         }
-        self.left = refill();
-        self.left.shuffle(rng);
-        self.left.pop()
+        self.remaining = refill();
+        self.remaining.shuffle(rng);
+        self.remaining.pop()
     }
 
-    /// Slips a new member into a random place, so that it is probed in this round.
+    /// Inserts a new member at a random position of the current round.
     pub(crate) fn insert(&mut self, rng: &mut SmallRng, key: MemberKey) {
-        let place = rng.random_range(0..=self.left.len());
-        self.left.insert(place, key);
+        let index = rng.random_range(0..=self.remaining.len());
+        self.remaining.insert(index, key);
     }
 }
--- a/crates/membership/src/probing/under_way.rs
+++ b/crates/membership/src/probing/pending_probe.rs
@@ -4,25 +4,25 @@
 use crate::message::Probe;
 use crate::table::MemberKey;
 
-/// How far a probe has got.
+/// Stage of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStage {
-    /// The node itself was asked.
+    /// The target was pinged directly.
     Direct,
-    /// Others were asked to ask it.
+    /// Other members were asked to ping the target.
     Indirect,
 }
 
 state! {
-    /// A probe that has no answer yet.
-    pub(crate) struct UnderWay {
-        /// Named in the answer.
+    /// A probe without an answer.
+    pub(crate) struct PendingProbe {
+        /// Number of the probe.
         pub(crate) probe: Probe,
         /// The probed member.
         pub(crate) target: MemberKey,
-        /// When it began.
+        /// When it was started.
         pub(crate) since: TimeMs,
-        /// How far it has got.
+        /// Its stage.
         pub(crate) stage: ProbeStage,
     }
 }
--- a/crates/membership/src/rumours/mod.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! Rumours still to be passed on.
-
-mod queue;
-
-pub(crate) use queue::RumourQueue;
--- a/crates/membership/src/settings/membership_settings.rs
+++ b/crates/membership/src/settings/membership_settings.rs
@@ -1,27 +1,26 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// Periods and timeouts of membership, all in milliseconds of the node's own clock.
+    /// Periods, timeouts and limits; times are in milliseconds of the node's own clock.
     #[derive(Copy, Eq)]
     pub struct MembershipSettings {
-        /// Time between two probes. A shorter one finds failures sooner and costs each node two
-        /// messages more a second.
+        /// Time between two probes of a node.
         pub probe_period_ms: u64,
-        /// Time a probed node has to answer before others are asked to probe it.
+        /// Time that a probed node has to answer before indirect probes are sent.
         pub ack_timeout_ms: u64,
-        /// How many others are asked.
+        /// Number of members that are asked for an indirect probe.
         pub indirect_probes: usize,
-        /// Time a suspected node has to refute.
+        /// Time that a suspected node has to refute before it is declared dead.
         pub suspect_ms: u64,
-        /// Time a dead node is remembered, so that old rumours do not revive it.
+        /// Time for which a dead node is remembered, so that old updates do not revive it.
         pub remember_dead_ms: u64,
-        /// Least time between two sends of fresh news.
+        /// Minimum time between two rounds of gossip.
         pub gossip_interval_ms: u64,
-        /// Members that fresh news is sent to at once, beside what probes carry.
+        /// Number of members that receive an update in a round of gossip.
         pub gossip_fanout: usize,
-        /// Rumours in one message at most; bounds the message to one datagram.
+        /// Maximum number of updates in a message, so that it fits into one datagram.
         pub updates_per_message: usize,
-        /// A gap between two ticks after which the node takes itself for the one that was away.
+        /// Gap between two ticks above which the node assumes that its process was paused.
         pub own_pause_ms: u64,
     }
 }
--- a/crates/membership/src/table/members.rs
+++ b/crates/membership/src/table/members.rs
@@ -6,16 +6,16 @@
 use crate::member::{MemberState, MembershipUpdate};
 use crate::table::{MemberKey, Record};
 
-/// What a rumour did to the table.
+/// Outcome of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
-    /// It is no newer than what is known.
-    Nothing,
-    /// It holds from now on.
-    Changed(MemberKey),
+pub(crate) enum UpdateOutcome {
+    /// Its precedence is not higher than that of the current record.
+    Ignored,
+    /// It replaces the record or adds a member.
+    Applied(MemberKey),
 }
 
-/// Every member known, live or remembered, by name.
+/// Records of all live and remembered members, by name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Members {
     records: SlotMap<MemberKey, Record>,
@@ -35,43 +35,43 @@
         self.by_name.get(node).copied()
     }
 
-    /// All records, by name.
+    /// Returns all records, by name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (MemberKey, &Record)> {
         self.by_name.values().filter_map(|key| Some((*key, self.records.get(*key)?)))
     }
 
-    /// Takes a rumour if it overrides what is known.
-    pub(crate) fn hear(&mut self, now: TimeMs, rumour: &MembershipUpdate) -> Heard {
-        let Some(key) = self.key(rumour.member.node()) else {
-            return self.insert(now, rumour);
+    /// Applies an update if it overrides the current record.
+    pub(crate) fn apply(&mut self, now: TimeMs, update: &MembershipUpdate) -> UpdateOutcome {
+        let Some(key) = self.key(update.member.node()) else {
+            return self.insert(now, update);
         };
-        let Some(record) = self.records.get_mut(key) else { return Heard::Nothing };
-        if rumour.precedence() <= record.rumour.precedence() {
-            return Heard::Nothing;
+        let Some(record) = self.records.get_mut(key) else { return UpdateOutcome::Ignored };
+        if update.precedence() <= record.update.precedence() {
+            return UpdateOutcome::Ignored;
         }
-        *record = Record { rumour: rumour.clone(), since: now };
-        Heard::Changed(key)
+        *record = Record { update: update.clone(), since: now };
+        UpdateOutcome::Applied(key)
     }
 
-    /// Changes the belief about a member without a new word from it.
-    pub(crate) fn believe(&mut self, now: TimeMs, key: MemberKey, state: MemberState) {
+    /// Sets the state of a member from local detection.
+    pub(crate) fn set_state(&mut self, now: TimeMs, key: MemberKey, state: MemberState) {
         if let Some(record) = self.records.get_mut(key) {
-            record.rumour.state = state;
+            record.update.state = state;
             record.since = now;
         }
     }
 
-    /// Drops members that ended before `before`.
-    pub(crate) fn forget_ended(&mut self, before: TimeMs) {
-        let ended = |record: &Record| !record.rumour.state.is_live() && record.since < before;
+    /// Removes members that have been dead or left since before `before`.
+    pub(crate) fn remove_ended(&mut self, before: TimeMs) {
+        let ended = |record: &Record| !record.update.state.is_live() && record.since < before;
         self.records.retain(|_, record| !ended(record));
         let records = &self.records;
         self.by_name.retain(|_, key| records.contains_key(*key));
     }
 
-    fn insert(&mut self, now: TimeMs, rumour: &MembershipUpdate) -> Heard {
-        let key = self.records.insert(Record { rumour: rumour.clone(), since: now });
-        self.by_name.insert(rumour.member.node().clone(), key);
-        Heard::Changed(key)
+    fn insert(&mut self, now: TimeMs, update: &MembershipUpdate) -> UpdateOutcome {
+        let key = self.records.insert(Record { update: update.clone(), since: now });
+        self.by_name.insert(update.member.node().clone(), key);
+        UpdateOutcome::Applied(key)
     }
 }
--- a/crates/membership/src/table/mod.rs
+++ b/crates/membership/src/table/mod.rs
@@ -1,7 +1,7 @@
-//! What is known of every member, and which rumour overrides which.
+//! The current record of every member, and the precedence of updates.
 
 mod members;
 mod record;
 
-pub(crate) use members::{Heard, Members};
+pub(crate) use members::{Members, UpdateOutcome};
 pub(crate) use record::{MemberKey, Record};
--- a/crates/membership/src/table/record.rs
+++ b/crates/membership/src/table/record.rs
@@ -4,16 +4,16 @@
 use crate::member::MembershipUpdate;
 
 slotmap::new_key_type! {
-    /// A member's place in the table.
+    /// Key of a member in the table.
     pub(crate) struct MemberKey;
 }
 
 state! {
-    /// What is known of one member.
+    /// The current record of one member.
     pub(crate) struct Record {
-        /// The rumour that holds.
-        pub(crate) rumour: MembershipUpdate,
-        /// When it came to hold.
+        /// The update with the highest precedence.
+        pub(crate) update: MembershipUpdate,
+        /// When it was applied.
         pub(crate) since: TimeMs,
     }
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A handful of members on a network in virtual time.
+//! A simulated network of members in virtual time.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -14,8 +14,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// One-way delay of a message, in milliseconds, at most.
-const DELAY_MS: u64 = 40;
+/// Maximum one-way delay of a message.
+const DELAY_MS_MAX: u64 = 40;
 
 type Packet = Reverse<(u64, u64, usize, usize, Vec<u8>)>;
 
@@ -71,19 +71,19 @@
         Membership::new(TimeMs::new(now), member(index, boot), settings, seed).with_seeds(seeds)
     }
 
-    /// Adds a member that acts beside an earlier one of the same name.
-    pub fn add_twin(&mut self, index: usize, boot: u64, seed: u64) -> usize {
+    /// Adds a member with a later boot of an existing node, which keeps running.
+    pub fn add_successor(&mut self, index: usize, boot: u64, seed: u64) -> usize {
         let settings = MembershipSettings::default();
-        let mut twin = member(index, boot);
-        twin.address = address(100 + index);
+        let mut successor = member(index, boot);
+        successor.address = address(100 + index);
         let seeds = vec![address(0), address(1)];
         let now = TimeMs::new(self.now);
-        self.nodes.push(Membership::new(now, twin, settings, seed).with_seeds(seeds));
+        self.nodes.push(Membership::new(now, successor, settings, seed).with_seeds(seeds));
         self.sent.push((0, 0));
         self.nodes.len() - 1
     }
 
-    /// Cuts `one` off from all others, both ways.
+    /// Drops all messages between `one` and the other members.
     pub fn isolate(&mut self, one: usize) {
         for other in 0..self.nodes.len() {
             self.cut.insert((one, other));
@@ -116,7 +116,7 @@
             let mut out = Vec::new();
             let sender = self.nodes[from].me().node().clone();
             self.nodes[to].receive_message(TimeMs::new(self.now), &sender, message, &mut out);
-            self.carry_out(to, out);
+            self.execute(to, out);
         }
     }
 
@@ -127,11 +127,11 @@
             }
             let mut out = Vec::new();
             self.nodes[index].tick(TimeMs::new(self.now), &mut out);
-            self.carry_out(index, out);
+            self.execute(index, out);
         }
     }
 
-    fn carry_out(&mut self, from: usize, out: Vec<MembershipAction>) {
+    fn execute(&mut self, from: usize, out: Vec<MembershipAction>) {
         for action in out {
             match action {
                 MembershipAction::Send { to, message } => self.send(from, to, &message),
@@ -152,12 +152,12 @@
         self.sent[from].1 += bytes.len() as u64;
         let receivers: Vec<usize> =
             (0..self.nodes.len()).filter(|index| self.nodes[*index].me().address == to).collect();
-        // The latest start of a VM owns its address.
+        // The latest boot at an address receives its messages.
         let Some(to) = receivers.last().copied() else { return };
         if self.cut.contains(&(from, to)) {
             return;
         }
-        let arrives = self.now + self.rng.random_range(1..=DELAY_MS);
+        let arrives = self.now + self.rng.random_range(1..=DELAY_MS_MAX);
         self.next_packet += 1;
         self.packets.push(Reverse((arrives, self.next_packet, from, to, bytes)));
     }
--- a/crates/membership/tests/cost.rs
+++ b/crates/membership/tests/cost.rs
@@ -1,13 +1,13 @@
-//! What membership costs a node, by the size of the fleet.
+//! Network load of a node as a function of the fleet size.
 
 mod common;
 
 use common::Network;
 
-/// Messages and bytes that one node sends in a second, on average, once settled.
+/// Returns the average messages and bytes that a node sends per second after convergence.
 fn cost_per_second(count: usize) -> (f64, f64) {
     let mut network = Network::new(count, 11);
-    // A fleet that starts at once passes every join on for ten minutes; what counts is after it.
+    // Excludes the updates that follow a simultaneous start of the whole fleet.
     network.run_ms(720_000);
     network.sent.fill((0, 0));
     network.run_ms(20_000);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn messages_flat_by_fleet() {
+fn cost_independent_of_fleet_size() {
     let (small_messages, small_bytes) = cost_per_second(8);
     let (large_messages, large_bytes) = cost_per_second(340);
     println!("8 nodes: {small_messages:.2} messages/s {small_bytes:.0} B/s");
--- a/crates/membership/tests/failures.rs
+++ b/crates/membership/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Members die, pause, are cut off and come back.
+//! Members that crash, pause, are cut off and return.
 
 mod common;
 
@@ -7,18 +7,17 @@
 
 const SEEDS: std::ops::Range<u64> = 0..40;
 
-/// Long enough for 12 nodes to know each other.
-const SETTLE_MS: u64 = 10_000;
+/// Time in which 12 nodes learn of each other.
+const CONVERGENCE_MS: u64 = 10_000;
 
-/// Found by a probe within one period of some node, suspected after it, dead after the suspicion,
-/// passed on in a few rounds.
-const FOUND_MS: u64 = 10_000;
+/// Time for a failed probe, the suspicion timeout and the gossip of the result.
+const DETECTION_MS: u64 = 10_000;
 
-fn settled(count: usize, seed: u64) -> Network {
+fn converged(count: usize, seed: u64) -> Network {
     let mut network = Network::new(count, seed);
-    network.run_ms(SETTLE_MS);
+    network.run_ms(CONVERGENCE_MS);
     for node in &network.nodes {
-        assert_eq!(node.live().count(), count, "seed {seed}: not settled");
+        assert_eq!(node.live().count(), count, "seed {seed}: not converged");
     }
     network
 }
@@ -28,61 +27,58 @@
     found.is_some_and(|(_, state)| !state.is_live())
 }
 
-// A VM dies without a word. Callers would go on being told to use it, and replicas that it
-// observes would grow old. Every other node must believe it dead within a bound.
+// A VM crashes and some members do not declare it dead, so callers are still sent to it.
 #[test]
-fn death_found_by_all() {
+fn death_detected_by_all() {
     for seed in SEEDS {
-        let mut network = settled(12, seed);
+        let mut network = converged(12, seed);
         network.down.insert(5);
-        network.run_ms(FOUND_MS);
+        network.run_ms(DETECTION_MS);
         for observer in (0..12).filter(|index| *index != 5) {
-            assert!(ended(&network, observer, 5), "seed {seed}: {observer} has not found it");
+            assert!(ended(&network, observer, 5), "seed {seed}: {observer} has not detected it");
         }
     }
 }
 
-// A VM is paused for two seconds, shorter than a suspicion. Suspected by some, it answers the
-// first probe after the pause with a refutation. Nobody may ever have believed it dead.
+// A member is declared dead although its pause was shorter than the suspicion timeout.
 #[test]
 fn short_pause_refuted() {
     for seed in SEEDS {
-        let mut network = settled(12, seed);
+        let mut network = converged(12, seed);
         network.down.insert(4);
         network.run_ms(2_000);
         network.down.remove(&4);
-        network.run_ms(FOUND_MS);
+        network.run_ms(DETECTION_MS);
         let dead = |(_, node, state): &(u64, _, _)| *node == name(4) && *state == MemberState::Dead;
-        let believed = network.changes.values().flatten().filter(|change| dead(change)).count();
-        assert_eq!(believed, 0, "seed {seed}");
+        let declared_dead =
+            network.changes.values().flatten().filter(|change| dead(change)).count();
+        assert_eq!(declared_dead, 0, "seed {seed}");
     }
 }
 
-// A VM is paused for a minute and wakes as if nothing had happened. By then all believe it dead.
-// Its first probes are answered with that belief; it refutes and is a member again everywhere.
+// A member that resumes after it was declared dead does not become a member again.
 #[test]
-fn long_pause_comes_back() {
+fn long_pause_refuted() {
     for seed in SEEDS {
-        let mut network = settled(12, seed);
+        let mut network = converged(12, seed);
         network.down.insert(4);
         network.run_ms(60_000);
         assert!(ended(&network, 0, 4));
         network.down.remove(&4);
-        network.run_ms(FOUND_MS);
+        network.run_ms(DETECTION_MS);
         for observer in 0..12 {
             assert!(!ended(&network, observer, 4), "seed {seed}: {observer}");
         }
     }
 }
 
-// One VM suspects another that was paused for a moment, and is then paused itself. The other
-// refutes meanwhile. On waking, the first finds that the suspicion has run out; without a guard it
-// would declare a healthy member dead.
+// A member that was paused itself misses a refutation and, on resuming, declares a healthy member
+// dead because the suspicion timeout has passed.
 #[test]
-fn waking_declares_nobody_dead() {
-    let mut tried = 0;
+fn resumed_member_declares_none_dead() {
+    let mut reached = 0;
     for seed in SEEDS {
-        let mut network = settled(4, seed);
+        let mut network = converged(4, seed);
         network.down.insert(2);
         network.run_ms(2_500);
         network.down.remove(&2);
@@ -90,41 +86,40 @@
         if suspected != Some(MemberState::Suspect) {
             continue;
         }
-        tried += 1;
+        reached += 1;
         network.down.insert(1);
         network.run_ms(20_000);
         network.down.remove(&1);
-        network.run_ms(FOUND_MS);
+        network.run_ms(DETECTION_MS);
         let own = network.changes.remove(&1).unwrap_or_default();
         let wrong = own.iter().filter(|(_, _, state)| *state == MemberState::Dead).count();
         assert_eq!(wrong, 0, "seed {seed}: {own:?}");
     }
-    assert!(tried >= 20, "only {tried} seeds reached the story");
+    assert!(reached >= 20, "only {reached} seeds reached the suspicion");
 }
 
-// A VM is replaced by one of the same name while the old process is only paused. The old process
-// wakes and would serve beside its successor. It must learn that it has been superseded.
+// A paused process resumes after its VM was replaced and serves next to its successor.
 #[test]
-fn twin_superseded() {
+fn replaced_process_superseded() {
     for seed in SEEDS {
-        let mut network = settled(12, seed);
+        let mut network = converged(12, seed);
         network.down.insert(4);
         network.run_ms(20_000);
-        let successor = network.add_twin(4, 2, seed);
-        network.run_ms(FOUND_MS);
+        let successor = network.add_successor(4, 2, seed);
+        network.run_ms(DETECTION_MS);
         network.down.remove(&4);
-        network.run_ms(FOUND_MS);
-        assert!(network.superseded.contains(&4), "seed {seed}: the old process serves on");
+        network.run_ms(DETECTION_MS);
+        assert!(network.superseded.contains(&4), "seed {seed}: the old process is not superseded");
         assert!(!network.superseded.contains(&successor), "seed {seed}");
     }
 }
 
-// A node loses its links, not its life. It must see within a bound that it sees no more than half
-// of the members it knows, so that it can stop vouching for its configuration.
+// A node that is cut off still counts a majority of the members as answering, and goes on
+// confirming its configuration.
 #[test]
 fn isolated_sees_minority() {
     for seed in SEEDS {
-        let mut network = settled(8, seed);
+        let mut network = converged(8, seed);
         network.isolate(3);
         network.run_ms(15_000);
         let (answering, known) = network.nodes[3].answering_and_known();
@@ -134,10 +129,10 @@
     }
 }
 
-// A node is told to stop. It says so itself, so nobody has to find out by probing.
+// A node that stops on request is detected only by probes, because it does not announce this.
 #[test]
-fn leave_told_to_all() {
-    let mut network = settled(12, 1);
+fn leave_announced_to_all() {
+    let mut network = converged(12, 1);
     let mut out = Vec::new();
     let now = celeryhaven_types::TimeMs::new(network.now);
     network.nodes[6].announce_leaving(now);
