--- a/crates/capacity/src/fleet/store.rs
+++ b/crates/capacity/src/fleet/store.rs
@@ -1,11 +1,11 @@
 use celeryhaven_types::store::{
-    Object, ObjectChange, ObjectKey, ObjectVersion, StoreCall, StoreReply, StoreRequest,
+    Object, ObjectChange, ObjectKey, ObjectVersion, StoreCallId, StoreReply, StoreRequest,
 };
 
 /// A watch that waits.
 struct Watch {
     node: usize,
-    call: StoreCall,
+    call: StoreCallId,
     prefix: ObjectKey,
     from: u64,
     until_us: u64,
@@ -20,7 +20,7 @@
 }
 
 /// An answer for a node.
-pub(crate) type Answer = (usize, StoreCall, StoreReply);
+pub(crate) type Answer = (usize, StoreCallId, StoreReply);
 
 impl Store {
     pub(crate) fn write(&mut self, key: &str, value: String) {
@@ -33,7 +33,7 @@
         &mut self,
         now_us: u64,
         node: usize,
-        call: StoreCall,
+        call: StoreCallId,
         request: StoreRequest,
     ) -> Option<Answer> {
         let reply = match request {
--- a/crates/node/src/controller/controller_node.rs
+++ b/crates/node/src/controller/controller_node.rs
@@ -2,7 +2,7 @@
 
 use celeryhaven_lease::{Lease, Nearness};
 use celeryhaven_placement::{Allocation, DeploymentFigures};
-use celeryhaven_types::store::{Object, ObjectKey, StoreCall, StoreReply, StoreRequest};
+use celeryhaven_types::store::{Object, ObjectKey, StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{
     Config, DataCentreName, DeploymentName, DomainName, Fence, Incarnation, TimeMs,
 };
@@ -170,7 +170,7 @@
     fn store_ended(
         &mut self,
         now: TimeMs,
-        call: StoreCall,
+        call: StoreCallId,
         reply: StoreReply,
         out: &mut Vec<ControllerAction>,
     ) {
@@ -182,7 +182,7 @@
     fn route(
         &mut self,
         now: TimeMs,
-        call: StoreCall,
+        call: StoreCallId,
         route: Route,
         reply: StoreReply,
         out: &mut Vec<ControllerAction>,
--- a/crates/node/src/controller/interface/action.rs
+++ b/crates/node/src/controller/interface/action.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 
 use celeryhaven_derives::state;
-use celeryhaven_types::store::{StoreCall, StoreRequest};
+use celeryhaven_types::store::{StoreCallId, StoreRequest};
 use celeryhaven_types::{OperatorReply, Order, TimeMs, VmName};
 
 use crate::controller::interface::OperatorTicket;
@@ -12,7 +12,7 @@
         /// Call the Object API.
         Store {
             /// Matches the reply.
-            call: StoreCall,
+            call: StoreCallId,
             /// The call.
             request: StoreRequest,
         },
--- a/crates/node/src/controller/interface/event.rs
+++ b/crates/node/src/controller/interface/event.rs
@@ -1,5 +1,5 @@
 use celeryhaven_derives::{number, state};
-use celeryhaven_types::store::{StoreCall, StoreReply};
+use celeryhaven_types::store::{StoreCallId, StoreReply};
 use celeryhaven_types::{Fence, OperatorName, OperatorRequest, VmEntry, VmName};
 
 use crate::entry::PollOutcome;
@@ -33,7 +33,7 @@
         /// A call to the Object API ended.
         Store {
             /// Which call.
-            call: StoreCall,
+            call: StoreCallId,
             /// How.
             reply: StoreReply,
         },
--- a/crates/node/src/controller/state/calls.rs
+++ b/crates/node/src/controller/state/calls.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use celeryhaven_derives::state;
-use celeryhaven_types::store::StoreCall;
+use celeryhaven_types::store::StoreCallId;
 use celeryhaven_types::{DomainName, TimeMs};
 
 use crate::controller::desk::Step;
@@ -39,23 +39,27 @@
 /// otherwise be taken for the answer to a later call.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Calls {
-    last: StoreCall,
-    waiting: BTreeMap<StoreCall, (TimeMs, Route)>,
+    last: StoreCallId,
+    waiting: BTreeMap<StoreCallId, (TimeMs, Route)>,
 }
 
 impl Calls {
-    pub(crate) fn begin(&mut self, now: TimeMs, route: Route) -> StoreCall {
+    pub(crate) fn begin(&mut self, now: TimeMs, route: Route) -> StoreCallId {
         self.last = self.last.next();
         self.waiting.insert(self.last, (now, route));
         self.last
     }
 
-    pub(crate) fn end(&mut self, call: StoreCall) -> Option<Route> {
+    pub(crate) fn end(&mut self, call: StoreCallId) -> Option<Route> {
         self.waiting.remove(&call).map(|(_, route)| route)
     }
 
     /// Ends the oldest call that has waited for too long.
-    pub(crate) fn end_late(&mut self, now: TimeMs, timeout_ms: u64) -> Option<(StoreCall, Route)> {
+    pub(crate) fn end_late(
+        &mut self,
+        now: TimeMs,
+        timeout_ms: u64,
+    ) -> Option<(StoreCallId, Route)> {
         let late = self.waiting.iter().find(|(_, (sent, _))| now.since(*sent) >= timeout_ms);
         let call = late.map(|(call, _)| *call)?;
         self.end(call).map(|route| (call, route))
--- a/crates/node/src/controller/state/domain_control.rs
+++ b/crates/node/src/controller/state/domain_control.rs
@@ -3,7 +3,7 @@
     Allocation, DeploymentFigures, DomainView, Wanted, broken_replicas, empty_placement, figures,
     orders,
 };
-use celeryhaven_types::store::{StoreCall, StoreReply};
+use celeryhaven_types::store::{StoreCallId, StoreReply};
 use celeryhaven_types::{
     Config, DataCentreName, DomainHealth, DomainName, DomainPlacement, Fence, Order, ReplicaName,
     TimeMs, VmName,
@@ -192,7 +192,7 @@
 
 /// What it hears.
 impl DomainControl {
-    pub(crate) fn lease_ended(&mut self, now: TimeMs, call: StoreCall, reply: StoreReply) {
+    pub(crate) fn lease_ended(&mut self, now: TimeMs, call: StoreCallId, reply: StoreReply) {
         self.slot.reply(now, call, reply);
     }
 
--- a/crates/node/src/controller/state/lease_slot.rs
+++ b/crates/node/src/controller/state/lease_slot.rs
@@ -1,5 +1,5 @@
 use celeryhaven_lease::Lease;
-use celeryhaven_types::store::{StoreCall, StoreReply};
+use celeryhaven_types::store::{StoreCallId, StoreReply};
 use celeryhaven_types::{Fence, TimeMs};
 
 use crate::controller::interface::ControllerAction;
@@ -13,7 +13,7 @@
 pub(crate) struct LeaseSlot {
     pub(crate) lease: Lease,
     route: Route,
-    call: Option<StoreCall>,
+    call: Option<StoreCallId>,
 }
 
 impl LeaseSlot {
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(crate) fn reply(&mut self, now: TimeMs, call: StoreCall, reply: StoreReply) {
+    pub(crate) fn reply(&mut self, now: TimeMs, call: StoreCallId, reply: StoreReply) {
         if self.call == Some(call) {
             self.call = None;
             self.lease.reply(now, reply);
--- a/crates/node/src/entry/action.rs
+++ b/crates/node/src/entry/action.rs
@@ -2,7 +2,7 @@
 
 use celeryhaven_derives::state;
 use celeryhaven_policy::Ticket;
-use celeryhaven_types::store::{StoreCall, StoreRequest};
+use celeryhaven_types::store::{StoreCallId, StoreRequest};
 use celeryhaven_types::{Generation, Incarnation, Refusal, ReplicaName, TimeMs, VmName};
 
 use crate::entry::{Attempt, PeerMessage};
@@ -83,7 +83,7 @@
         /// Call the Object API.
         Store {
             /// Matches the reply.
-            call: StoreCall,
+            call: StoreCallId,
             /// The call.
             request: StoreRequest,
         },
--- a/crates/node/src/entry/event.rs
+++ b/crates/node/src/entry/event.rs
@@ -1,6 +1,6 @@
 use celeryhaven_derives::state;
 use celeryhaven_policy::Ticket;
-use celeryhaven_types::store::{StoreCall, StoreReply};
+use celeryhaven_types::store::{StoreCallId, StoreReply};
 use celeryhaven_types::{MemberReport, NodeName, RequestHead, VmEntry, VmName};
 
 use crate::entry::{Attempt, AttemptEvent, PeerMessage};
@@ -82,7 +82,7 @@
         /// A call to the Object API ended.
         Store {
             /// Which call.
-            call: StoreCall,
+            call: StoreCallId,
             /// How.
             reply: StoreReply,
         },
--- a/crates/node/src/entry/fleet/hearing.rs
+++ b/crates/node/src/entry/fleet/hearing.rs
@@ -1,7 +1,7 @@
 use celeryhaven_membership::{MembershipAction, Message};
 use celeryhaven_policy::{PolicyEvent, RequestPolicy};
 use celeryhaven_spread::{SpreadAction, SpreadMessage};
-use celeryhaven_types::store::{ObjectChange, StoreCall, StoreReply, StoreRequest};
+use celeryhaven_types::store::{ObjectChange, StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{NodeName, TimeMs};
 
 use crate::entry::catalogue::CatalogueChange;
@@ -51,7 +51,7 @@
     pub(crate) fn spread_reply(
         &mut self,
         now: TimeMs,
-        call: StoreCall,
+        call: StoreCallId,
         reply: &StoreReply,
         out: &mut Vec<EntryAction>,
     ) -> bool {
--- a/crates/node/src/entry/fleet/reporting.rs
+++ b/crates/node/src/entry/fleet/reporting.rs
@@ -2,7 +2,7 @@
 
 use celeryhaven_membership::MemberState;
 use celeryhaven_policy::RequestPolicy;
-use celeryhaven_types::store::{ObjectKey, ObjectVersion, StoreCall, StoreReply, StoreRequest};
+use celeryhaven_types::store::{ObjectKey, ObjectVersion, StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{ConfigNumber, DataCentreStatus, TimeMs};
 
 use crate::entry::{EntryAction, EntryNode};
@@ -34,7 +34,7 @@
     is_reporting: bool,
     due_at: TimeMs,
     next: Next,
-    call: Option<StoreCall>,
+    call: Option<StoreCallId>,
     numbers: BTreeMap<ObjectVersion, ConfigNumber>,
 }
 
@@ -60,7 +60,7 @@
         if is_waiting { self.due_at } else { TimeMs::new(u64::MAX) }
     }
 
-    pub(crate) fn awaits(&self, call: StoreCall) -> bool {
+    pub(crate) fn awaits(&self, call: StoreCallId) -> bool {
         self.call == Some(call)
     }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    fn request(&mut self, call: StoreCall, key: ObjectKey, value: String) -> StoreRequest {
+    fn request(&mut self, call: StoreCallId, key: ObjectKey, value: String) -> StoreRequest {
         self.call = Some(call);
         match self.next {
             Next::Look => StoreRequest::Get { key },
--- a/crates/node/src/entry/fleet/state.rs
+++ b/crates/node/src/entry/fleet/state.rs
@@ -3,7 +3,7 @@
 
 use celeryhaven_membership::{Member, MemberPhase, Membership};
 use celeryhaven_spread::Spread;
-use celeryhaven_types::store::{ObjectKey, StoreCall};
+use celeryhaven_types::store::{ObjectKey, StoreCallId};
 use celeryhaven_types::{NodeName, TimeMs};
 
 use crate::entry::catalogue::{CONFIG_KEY, CONFIG_PREFIX, PLACEMENT_PREFIX};
@@ -15,7 +15,7 @@
 pub(crate) struct Fleet {
     pub(crate) membership: Membership,
     pub(crate) spread: Spread,
-    pub(crate) calls: BTreeMap<StoreCall, usize>,
+    pub(crate) calls: BTreeMap<StoreCallId, usize>,
     pub(crate) is_vouched: bool,
     pub(crate) reporter: Reporter,
     has_begun: bool,
--- a/crates/node/src/entry/node.rs
+++ b/crates/node/src/entry/node.rs
@@ -3,7 +3,7 @@
 use celeryhaven_once::{Once, OnceCall};
 
 use celeryhaven_policy::{PolicyEvent, RequestPolicy, Ticket};
-use celeryhaven_types::store::StoreCall;
+use celeryhaven_types::store::StoreCallId;
 use celeryhaven_types::{TimeMs, VmEntry, VmName};
 
 use crate::entry::catalogue::Catalogue;
@@ -35,8 +35,8 @@
     pub(crate) requests: Requests,
     pub(crate) peers: Peers,
     pub(crate) once: Once<Ticket>,
-    pub(crate) once_calls: BTreeMap<StoreCall, OnceCall>,
-    pub(crate) last_call: StoreCall,
+    pub(crate) once_calls: BTreeMap<StoreCallId, OnceCall>,
+    pub(crate) last_call: StoreCallId,
     pub(crate) leaving_since: Option<TimeMs>,
     pub(crate) has_lapsed: bool,
     pub(crate) has_left: bool,
@@ -69,7 +69,7 @@
             observe_due_at: TimeMs::new(0),
             pause: PauseGuard::default(),
             requests: Requests::default(),
-            last_call: StoreCall::new(0),
+            last_call: StoreCallId::new(0),
             leaving_since: None,
             has_lapsed: false,
             has_left: false,
--- a/crates/node/src/entry/watching.rs
+++ b/crates/node/src/entry/watching.rs
@@ -1,5 +1,5 @@
 use celeryhaven_policy::{PolicyEvent, RequestPolicy, TargetKey};
-use celeryhaven_types::store::{StoreCall, StoreReply};
+use celeryhaven_types::store::{StoreCallId, StoreReply};
 use celeryhaven_types::{TimeMs, VmEntry, VmName, VmPhase, VmRole};
 
 use crate::entry::observing::Target;
@@ -7,7 +7,7 @@
 
 /// What the node reads of its world, and what it tells the policy of it.
 impl<P: RequestPolicy> EntryNode<P> {
-    pub(crate) fn next_call(&mut self) -> StoreCall {
+    pub(crate) fn next_call(&mut self) -> StoreCallId {
         self.last_call = self.last_call.next();
         self.last_call
     }
@@ -24,7 +24,7 @@
     pub(crate) fn store_reply(
         &mut self,
         now: TimeMs,
-        call: StoreCall,
+        call: StoreCallId,
         reply: &StoreReply,
         out: &mut Vec<EntryAction>,
     ) {
--- a/crates/node/tests/common/entries.rs
+++ b/crates/node/tests/common/entries.rs
@@ -4,7 +4,7 @@
     EntryEvent, EntryNode, EntrySettings, KeyUse, Machine, PeerEntry, PeerMessage,
 };
 use celeryhaven_policy::Ticket;
-use celeryhaven_types::store::{ObjectVersion, StoreCall, StoreReply, StoreRequest};
+use celeryhaven_types::store::{ObjectVersion, StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{Boot, DataCentreName, Incarnation, NodeName, RequestHead, TimeMs};
 use rand::Rng;
 
@@ -198,7 +198,7 @@
     }
 
     /// Sends a call to the Object API; in an outage one in three is carried out after all, late.
-    pub fn send_store(&mut self, process: Process, call: StoreCall, request: StoreRequest) {
+    pub fn send_store(&mut self, process: Process, call: StoreCallId, request: StoreRequest) {
         let is_down = self.store.down_until > self.now;
         let is_lost = self.rng.random_range(0..1_000) < self.store_answers_lost;
         let answer = !is_down && !is_lost;
@@ -216,7 +216,7 @@
     pub fn store_arrive(
         &mut self,
         process: Process,
-        call: StoreCall,
+        call: StoreCallId,
         request: &StoreRequest,
         answer: bool,
     ) {
@@ -259,7 +259,7 @@
     }
 
     /// A watch has waited in vain.
-    pub fn watch_end(&mut self, process: Process, call: StoreCall) {
+    pub fn watch_end(&mut self, process: Process, call: StoreCallId) {
         if self.store.take_waiter(process, call).is_some() {
             let reply = self.store.nothing();
             self.schedule(1, Event::StoreReply { process, call, reply });
--- a/crates/node/tests/common/events.rs
+++ b/crates/node/tests/common/events.rs
@@ -4,7 +4,7 @@
 use celeryhaven_checks::{Answer, CallId, OperationId, Piece};
 use celeryhaven_node::{Attempt, EntryEvent};
 use celeryhaven_policy::Ticket;
-use celeryhaven_types::store::{StoreCall, StoreReply, StoreRequest};
+use celeryhaven_types::store::{StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{Boot, Generation, Refusal, ReplicaName, RequestHead, TimeMs, VmName};
 
 /// A process of an entry: index of its VM and which start.
@@ -88,18 +88,18 @@
     ReadTimeout(Process, Ticket, Attempt),
     StoreArrive {
         process: Process,
-        call: StoreCall,
+        call: StoreCallId,
         request: StoreRequest,
         answer: bool,
     },
     StoreReply {
         process: Process,
-        call: StoreCall,
+        call: StoreCallId,
         reply: StoreReply,
     },
     WatchEnd {
         process: Process,
-        call: StoreCall,
+        call: StoreCallId,
     },
     Restored(VmName),
     PollArrive(Process, VmName),
--- a/crates/node/tests/common/store.rs
+++ b/crates/node/tests/common/store.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use celeryhaven_types::store::{
-    Object, ObjectChange, ObjectKey, ObjectVersion, StoreCall, StoreReply, StoreRequest,
+    Object, ObjectChange, ObjectKey, ObjectVersion, StoreCallId, StoreReply, StoreRequest,
 };
 
 use super::events::Process;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct Waiter {
     pub process: Process,
-    pub call: StoreCall,
+    pub call: StoreCallId,
     pub prefix: String,
     pub from: ObjectVersion,
 }
@@ -108,7 +108,7 @@
     }
 
     /// Takes one waiting watch out.
-    pub fn take_waiter(&mut self, process: Process, call: StoreCall) -> Option<Waiter> {
+    pub fn take_waiter(&mut self, process: Process, call: StoreCallId) -> Option<Waiter> {
         let mut waiters = self.waiters.iter();
         let at = waiters.position(|waiter| waiter.process == process && waiter.call == call)?;
         Some(self.waiters.remove(at))
--- a/crates/node/tests/controllers/world.rs
+++ b/crates/node/tests/controllers/world.rs
@@ -5,7 +5,7 @@
     ControllerAction, ControllerEvent, ControllerNode, ControllerOptions, Machine, OperatorTicket,
     OrderOutcome, PollOutcome,
 };
-use celeryhaven_types::store::{StoreCall, StoreReply, StoreRequest};
+use celeryhaven_types::store::{StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{
     Boot, ChangeRecord, Config, DataCentreName, DomainName, DomainPlacement, FencingMode,
     Generation, Incarnation, Intent, MemberReport, NodeName, OperatorName, OperatorReply,
@@ -84,7 +84,7 @@
 
 enum Delivery {
     Event { node: usize, boot: Boot, event: ControllerEvent },
-    Store { node: usize, boot: Boot, call: StoreCall, request: StoreRequest },
+    Store { node: usize, boot: Boot, call: StoreCallId, request: StoreRequest },
     Poll { node: usize, boot: Boot, vm: VmName, sent_at: TimeMs },
     Order { node: usize, boot: Boot, vm: VmName, order: Order },
 }
--- a/crates/node/tests/entry_status.rs
+++ b/crates/node/tests/entry_status.rs
@@ -6,7 +6,7 @@
     EntryAction, EntryEvent, EntryNode, EntrySettings, Machine, PeerEntry, PeerMessage,
 };
 use celeryhaven_types::store::{
-    Object, ObjectKey, ObjectVersion, StoreCall, StoreReply, StoreRequest,
+    Object, ObjectKey, ObjectVersion, StoreCallId, StoreReply, StoreRequest,
 };
 use celeryhaven_types::{
     Boot, ConfigNumber, DataCentreName, DataCentreStatus, Incarnation, NodeName, TimeMs,
@@ -29,7 +29,7 @@
 }
 
 /// Ticks a node until `until_ms`; gives its calls for the status object.
-fn run(node: &mut EntryNode<LeastLoaded>, until_ms: u64) -> Vec<StoreCall> {
+fn run(node: &mut EntryNode<LeastLoaded>, until_ms: u64) -> Vec<StoreCallId> {
     let mut calls = Vec::new();
     for now in (1_000..=until_ms).step_by(100).map(TimeMs::new) {
         let mut actions = Vec::new();
@@ -41,7 +41,7 @@
 }
 
 /// Calls that look for the status object.
-fn looks(actions: &[EntryAction]) -> Vec<StoreCall> {
+fn looks(actions: &[EntryAction]) -> Vec<StoreCallId> {
     let looks = actions.iter().filter_map(|action| match action {
         EntryAction::Store { call, request: StoreRequest::Get { key } } => {
             (key.as_str() == KEY).then_some(*call)
@@ -61,7 +61,7 @@
 }
 
 /// What the node writes once it is told that there is no such object.
-fn written(node: &mut EntryNode<LeastLoaded>, call: StoreCall, now_ms: u64) -> DataCentreStatus {
+fn written(node: &mut EntryNode<LeastLoaded>, call: StoreCallId, now_ms: u64) -> DataCentreStatus {
     let mut actions = Vec::new();
     let reply = EntryEvent::Store { call, reply: StoreReply::Missing };
     node.handle(TimeMs::new(now_ms), reply, &mut actions);
--- a/crates/types/src/store/mod.rs
+++ b/crates/types/src/store/mod.rs
@@ -6,4 +6,4 @@
 
 pub use object::{Object, ObjectChange, ObjectKey, ObjectVersion};
 pub use reply::StoreReply;
-pub use request::{StoreCall, StoreRequest};
+pub use request::{StoreCallId, StoreRequest};
--- a/crates/types/src/store/request.rs
+++ b/crates/types/src/store/request.rs
@@ -6,7 +6,7 @@
 
 number! {
     /// Matches an answer of the Object API to the call that asked for it, inside one node.
-    StoreCall(u64)
+    StoreCallId(u64)
 }
 
 state! {
