--- a/crates/controller/src/control/carrier.rs
+++ b/crates/controller/src/control/carrier.rs
@@ -87,7 +87,7 @@
 
 const fn store_outcome(reply: &StoreReply) -> &'static str {
     match reply {
-        StoreReply::NotDone => "not_done",
+        StoreReply::Rejected => "not_done",
         StoreReply::Unknown => "unknown",
         StoreReply::Conflict => "conflict",
         _ => "ok",
--- a/crates/entry/src/control/calls.rs
+++ b/crates/entry/src/control/calls.rs
@@ -20,7 +20,7 @@
     pub(crate) fn count_store(&self, reply: &StoreReply) {
         let outcome = match reply {
             StoreReply::Unknown => "unknown",
-            StoreReply::NotDone => "not_done",
+            StoreReply::Rejected => "not_done",
             StoreReply::Conflict => "conflict",
             _ => "answered",
         };
--- a/crates/gateway/src/control/actions.rs
+++ b/crates/gateway/src/control/actions.rs
@@ -99,7 +99,7 @@
     reply: &StoreReply,
     (event, version): (FormingEvent, Option<ObjectVersion>),
 ) {
-    if !reply.is_served() {
+    if !reply.is_processed() {
         events.send(ControlEvent::NotServed).await.unwrap_or_default();
     }
     let version = ControlEvent::RecordVersion(domain.clone(), version);
--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -119,7 +119,7 @@
                 Some(version)
             }
             // The same write again; if this one took effect, it meets its own version.
-            reply if !reply.is_served() => {
+            reply if !reply.is_processed() => {
                 self.notify(ControlEvent::NotServed).await;
                 self.version
             }
@@ -147,7 +147,7 @@
                 let read = |object: &Object| serde_json::from_str::<NodeRecord>(&object.value).ok();
                 self.notify(ControlEvent::Nodes(objects.iter().filter_map(read).collect())).await;
             }
-            reply if !reply.is_served() => self.notify(ControlEvent::NotServed).await,
+            reply if !reply.is_processed() => self.notify(ControlEvent::NotServed).await,
             _ => {}
         }
     }
--- a/crates/lease/src/machine/lease.rs
+++ b/crates/lease/src/machine/lease.rs
@@ -199,7 +199,7 @@
                 }
                 self.seen = Some(Seen { object: Some((version, record)), since: now });
             }
-            StoreReply::NotDone => self.retry_at = now.after(self.settings.call_timeout_ms / 4),
+            StoreReply::Rejected => self.retry_at = now.after(self.settings.call_timeout_ms / 4),
             // Somebody else wrote, or an earlier write of ours took effect late: read before
             // another try. Until the read says so, this process does not hold the lease.
             StoreReply::Conflict => {
--- a/crates/node/src/controller/desk/task.rs
+++ b/crates/node/src/controller/desk/task.rs
@@ -148,7 +148,7 @@
             self.in_doubt |= matches!(reply, StoreReply::Unknown);
         }
         match (step, reply) {
-            (step, StoreReply::NotDone) => Outcome::Later(step),
+            (step, StoreReply::Rejected) => Outcome::Later(step),
             (Step::Read(read), StoreReply::Unknown | StoreReply::TooOld) => {
                 Outcome::Later(Step::Read(read))
             }
--- a/crates/node/src/controller/state/guarded.rs
+++ b/crates/node/src/controller/state/guarded.rs
@@ -99,7 +99,7 @@
                 self.newest = version;
                 self.known = Some(Known { version: Some(version), value: Some(value) });
             }
-            (Some(Doing::Write(_)), StoreReply::NotDone) => self.retry_at = now.after(RETRY_MS),
+            (Some(Doing::Write(_)), StoreReply::Rejected) => self.retry_at = now.after(RETRY_MS),
             (Some(Doing::Write(_)), StoreReply::Conflict) => self.known = None,
             (Some(_), _) => {
                 self.known = None;
--- a/crates/once/src/claims/table.rs
+++ b/crates/once/src/claims/table.rs
@@ -153,7 +153,7 @@
                 self.pause(now, &key, false);
                 None
             }
-            (_, StoreReply::NotDone) => {
+            (_, StoreReply::Rejected) => {
                 self.pause(now, &key, !is_create);
                 None
             }
--- a/crates/spread/examples/cut_off_node.rs
+++ b/crates/spread/examples/cut_off_node.rs
@@ -71,7 +71,7 @@
                 self.watch = Some((feed, *from, now_ms + wait_ms));
                 None
             }
-            _ => Some(StoreReply::NotDone),
+            _ => Some(StoreReply::Rejected),
         }
     }
 
--- a/crates/spread/tests/common/store.rs
+++ b/crates/spread/tests/common/store.rs
@@ -60,7 +60,7 @@
                 self.watches.push(Watch { asker, prefix, from: from.get(), until: now + wait_ms });
                 return Vec::new();
             }
-            _ => StoreReply::NotDone,
+            _ => StoreReply::Rejected,
         };
         vec![(node, boot, feed, reply)]
     }
--- a/crates/store/src/client/reply.rs
+++ b/crates/store/src/client/reply.rs
@@ -8,7 +8,7 @@
 /// Only a refused connection proves that the store did not receive the call.
 pub(crate) fn reply_for_error(error: &Error) -> StoreReply {
     match error {
-        Error::Io(error) if error.kind() == ErrorKind::ConnectionRefused => StoreReply::NotDone,
+        Error::Io(error) if error.kind() == ErrorKind::ConnectionRefused => StoreReply::Rejected,
         _ => StoreReply::Unknown,
     }
 }
--- a/crates/store/src/client/store_client.rs
+++ b/crates/store/src/client/store_client.rs
@@ -58,7 +58,7 @@
     /// Executes a request.
     ///
     /// Returns [`StoreReply::Unknown`] if a write may have taken effect although its reply was
-    /// lost; the caller must read the object back. Returns [`StoreReply::NotDone`] only if nothing
+    /// lost; the caller must read the object back. Returns [`StoreReply::Rejected`] only if nothing
     /// was sent or the store rejected the call.
     pub async fn call(&self, request: &StoreRequest) -> StoreReply {
         self.call_all_pages(request, Freshness::Latest).await
@@ -90,7 +90,7 @@
     ) -> DecodedReply {
         let call = self.codec.encode_call(request, freshness, page);
         if call.body.as_ref().is_some_and(|body| body.len() > VALUE_BYTES_MAX) {
-            return DecodedReply::unpaged(StoreReply::NotDone);
+            return DecodedReply::unpaged(StoreReply::Rejected);
         }
         let timed_out = async {
             Timer::after(self.timeout_of(request)).await;
--- a/crates/store/src/codec/object_api.rs
+++ b/crates/store/src/codec/object_api.rs
@@ -25,7 +25,7 @@
             404 => StoreReply::Missing,
             412 => StoreReply::Conflict,
             410 => StoreReply::TooOld,
-            400..=499 => StoreReply::NotDone,
+            400..=499 => StoreReply::Rejected,
             _ => StoreReply::Unknown,
         })
     }
--- a/crates/store/tests/store_client.rs
+++ b/crates/store/tests/store_client.rs
@@ -136,7 +136,7 @@
     smol::block_on(async {
         let store = Store::new(Limits { reads_per_s: 2_000, writes_per_s: 1 }, 100).await;
         assert!(matches!(store.call(create("a/1", "0")).await, StoreReply::Written { .. }));
-        assert_eq!(store.call(create("a/2", "0")).await, StoreReply::NotDone);
+        assert_eq!(store.call(create("a/2", "0")).await, StoreReply::Rejected);
         assert_eq!(store.call(get("a/2")).await, StoreReply::Missing);
     });
 }
@@ -146,7 +146,7 @@
     smol::block_on(async {
         let store = store().await;
         let value = format!("\"{}\"", "x".repeat(1 << 20));
-        assert_eq!(store.call(create("a/1", &value)).await, StoreReply::NotDone);
+        assert_eq!(store.call(create("a/1", &value)).await, StoreReply::Rejected);
         assert_eq!(store.api.counters().puts, 0);
     });
 }
@@ -199,7 +199,7 @@
     smol::block_on(async {
         let Store { server, client, .. } = store().await;
         server.cut().await;
-        assert_eq!(client.call(&create("a/1", "7")).await, StoreReply::NotDone);
+        assert_eq!(client.call(&create("a/1", "7")).await, StoreReply::Rejected);
     });
 }
 
@@ -247,6 +247,6 @@
         let request = create("a/1", &value);
         let (reply, ()) =
             smol::future::zip(client.call(&request), store_without_continue(listener)).await;
-        assert_eq!(reply, StoreReply::NotDone);
+        assert_eq!(reply, StoreReply::Rejected);
     });
 }
--- a/crates/types/src/store/reply.rs
+++ b/crates/types/src/store/reply.rs
@@ -33,7 +33,7 @@
         /// The watch asked for changes that the store no longer keeps; list again.
         TooOld,
         /// The store refused the call without carrying it out, such as for its rate.
-        NotDone,
+        Rejected,
         /// No answer: a write may have taken effect, and must be read back before another try.
         Unknown,
     }
@@ -41,7 +41,7 @@
 
 impl StoreReply {
     /// Whether the store answered and did not turn the call away.
-    pub const fn is_served(&self) -> bool {
-        !matches!(self, Self::NotDone | Self::Unknown)
+    pub const fn is_processed(&self) -> bool {
+        !matches!(self, Self::Rejected | Self::Unknown)
     }
 }
