--- a/crates/placement/src/domain/draft.rs
+++ b/crates/placement/src/domain/draft.rs
@@ -2,7 +2,7 @@
 
 use celeryhaven_derives::state;
 use celeryhaven_types::{
-    Boot, DeploymentName, DomainPlacement, Priority, Releasing, Replica, ReplicaPhase, TimeMs,
+    Boot, DeploymentName, DomainPlacement, Priority, ReleasingVm, Replica, ReplicaPhase, TimeMs,
     VmName,
 };
 use celeryhaven_wholeness::Agreement;
@@ -255,7 +255,7 @@
                 *slot = spare;
             }
             let replica = replica.name.clone();
-            self.next.releasing.push(Releasing { vm: vm.clone(), replica });
+            self.next.releasing.push(ReleasingVm { vm: vm.clone(), replica });
         }
         true
     }
@@ -264,7 +264,7 @@
     pub(crate) fn dissolve(&mut self, at: usize) {
         let replica = self.next.replicas.remove(at);
         let releasing = replica.vms.into_iter();
-        let releasing = releasing.map(|vm| Releasing { vm, replica: replica.name.clone() });
+        let releasing = releasing.map(|vm| ReleasingVm { vm, replica: replica.name.clone() });
         self.next.releasing.extend(releasing);
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -39,7 +39,7 @@
     DataCentreStatus, DomainHealth, DomainStatus, LeaseStatus, OperatorRefusal, OperatorReply,
     OperatorRequest, StatusReport,
 };
-pub use placement::{DomainPlacement, Releasing, Replica, ReplicaPhase};
+pub use placement::{DomainPlacement, ReleasingVm, Replica, ReplicaPhase};
 pub use report::{Formation, MemberReport, Order, OrderKind, VmEntry, VmPhase, VmRole};
 pub use request::{Idempotency, Refusal, RefusalCode, RequestClass, RequestHead, Verdict};
 pub use time::TimeMs;
--- a/crates/types/src/placement/domain.rs
+++ b/crates/types/src/placement/domain.rs
@@ -24,13 +24,13 @@
         pub replicas: Vec<Replica>,
         /// VMs taken out of a replica and not free yet.
         #[serde(default)]
-        pub releasing: Vec<Releasing>,
+        pub releasing: Vec<ReleasingVm>,
     }
 
     /// A VM that has left its replica but may still act on an order sent to it.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
-    pub struct Releasing {
+    pub struct ReleasingVm {
         /// The VM.
         pub vm: VmName,
         /// The replica it left.
--- a/crates/types/src/placement/mod.rs
+++ b/crates/types/src/placement/mod.rs
@@ -3,5 +3,5 @@
 mod domain;
 mod replica;
 
-pub use domain::{DomainPlacement, Releasing};
+pub use domain::{DomainPlacement, ReleasingVm};
 pub use replica::{Replica, ReplicaPhase};
