--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -155,7 +155,7 @@
 
 /// Serves on while callers hold old address answers, then ends connections and exchanges.
 async fn leave(settings: &GatewaySettings, stop: &StopSignal, open: &Cell<usize>) {
-    Timer::after(settings.stop().saturating_sub(Duration::from_millis(LAST_MS))).await;
+    Timer::after(settings.stop_timeout().saturating_sub(Duration::from_millis(LAST_MS))).await;
     stop.stop();
     let last = Instant::now() + Duration::from_millis(LAST_MS - MARGIN_MS);
     while open.get() > 0 && Instant::now() < last {
--- a/crates/settings/src/process/gateway.rs
+++ b/crates/settings/src/process/gateway.rs
@@ -49,7 +49,7 @@
 
 impl GatewaySettings {
     /// Time from the signal to stop until the process is ended by force.
-    pub fn stop(&self) -> Duration {
+    pub fn stop_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.stop_s)
     }
 }
@@ -59,7 +59,7 @@
     settings: &GatewaySettings,
     document: &Document,
 ) -> Result<(), SettingsError> {
-    match settings.stop().as_millis() > 2 * u128::from(settings.address_ttl_ms) {
+    match settings.stop_timeout().as_millis() > 2 * u128::from(settings.address_ttl_ms) {
         true => Ok(()),
         false => Err(document.value_error("stop_s", "more than twice address_ttl_ms")),
     }
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -137,7 +137,7 @@
     let text =
         format!("{GATEWAY}stop_s: 7.5\nretry_ratio: 0.125\nretry_extra: 53.80952380952381\n");
     let settings = GatewaySettings::from_yaml("gateway.yaml", &text).unwrap();
-    assert_eq!(settings.stop().as_millis(), 7_500);
+    assert_eq!(settings.stop_timeout().as_millis(), 7_500);
     assert_eq!((settings.retry_ratio, settings.retry_extra), (0.125, 53.80952380952381));
 }
 
