--- a/crates/types/src/audit/mod.rs
+++ b/crates/types/src/audit/mod.rs
@@ -1,4 +1,4 @@
-//! Who changed what, and the plan that was confirmed.
+//! Plans and records of configuration changes.
 
 mod plan;
 mod record;
--- a/crates/types/src/audit/plan.rs
+++ b/crates/types/src/audit/plan.rs
@@ -4,64 +4,64 @@
 use crate::names::{DeploymentName, OperatorName, OrganisationName, ReplicaName};
 
 name! {
-    /// Identifies a plan; derived from its content and base.
+    /// Identifier of a plan, derived from its content and base.
     PlanId
 }
 
 data! {
-    /// What would change if an intent were confirmed, kept at `plans/<id>`.
+    /// Effects of putting an intent in force, stored at `plans/<id>`.
     #[serde(deny_unknown_fields)]
     pub struct Plan {
-        /// Identity, bound to the base and the intent.
+        /// Identifier, derived from the base and the intent.
         pub id: PlanId,
-        /// The configuration it was made from; confirming it on any other is a conflict.
+        /// The configuration from which the plan was made; confirming it on another is a conflict.
         pub base: ConfigNumber,
-        /// Who asked for it.
+        /// The operator who requested the plan.
         pub operator: OperatorName,
-        /// The intent that would be in force.
+        /// The intent to put in force.
         pub intent: Intent,
-        /// What would change, in the order it would happen.
+        /// Effects of the plan, in the order in which they would happen.
         pub effects: Vec<PlanEffect>,
     }
 
-    /// One thing that a plan would change.
+    /// One effect of a plan.
     #[serde(rename_all = "snake_case")]
     pub enum PlanEffect {
-        /// Replicas would be formed.
+        /// New replicas are formed.
         Form {
-            /// Of which deployment.
+            /// The deployment.
             deployment: DeploymentName,
-            /// How many.
+            /// Number of new replicas.
             replicas: u32,
         },
-        /// A replica would stop, after finishing its requests.
+        /// A replica stops after it has completed its requests.
         Stop {
-            /// Which.
+            /// The replica.
             replica: ReplicaName,
-            /// Of which deployment.
+            /// The deployment.
             deployment: DeploymentName,
-            /// Whose requests it serves now.
+            /// Organisations whose requests the replica currently serves.
             organisations: Vec<OrganisationName>,
         },
-        /// A replica would be replaced by one of another version or shape.
+        /// A replica is replaced by one of another version or shape.
         Replace {
-            /// Which.
+            /// The replica.
             replica: ReplicaName,
-            /// Of which deployment.
+            /// The deployment.
             deployment: DeploymentName,
-            /// Whose requests it serves now.
+            /// Organisations whose requests the replica currently serves.
             organisations: Vec<OrganisationName>,
         },
-        /// There are not enough free VMs for what is wanted.
+        /// The free VMs do not suffice for all desired replicas.
         Short {
-            /// Of which deployment.
+            /// The deployment.
             deployment: DeploymentName,
-            /// Replicas that cannot be formed now.
+            /// Number of replicas that cannot currently be formed.
             replicas: u32,
         },
-        /// A setting changes without stopping anything.
+        /// A setting changes without stopping a replica.
         Set {
-            /// What changes, as one line.
+            /// Description of the change, as one line.
             what: String,
         },
     }
--- a/crates/types/src/audit/record.rs
+++ b/crates/types/src/audit/record.rs
@@ -5,48 +5,48 @@
 use crate::names::{NodeName, OperatorName, VmName};
 
 data! {
-    /// One accepted change of configuration.
+    /// An accepted change of the configuration.
     ///
-    /// It stands inside the configuration that it made, and is copied to `audit/<number>` before
-    /// the next change may be written.
+    /// The record is part of the configuration that the change produced, and is copied to
+    /// `audit/<number>` before the next change is written.
     #[serde(deny_unknown_fields)]
     pub struct ChangeRecord {
-        /// The configuration it made.
+        /// The configuration that the change produced.
         pub number: ConfigNumber,
-        /// The configuration it was made from.
+        /// The configuration that the change replaced.
         pub from_number: ConfigNumber,
-        /// Who confirmed it, by certificate.
+        /// The operator who confirmed the change, as named in their certificate.
         pub operator: OperatorName,
-        /// When, in milliseconds since the Unix epoch by the clock of the node that wrote it.
+        /// Time of the change by the writing node's clock, in milliseconds since the Unix epoch.
         pub at_unix_ms: u64,
-        /// What changed.
+        /// Kind of the change.
         pub change: Change,
-        /// One line a person reads for each difference.
+        /// Human-readable summary, one line for each difference.
         pub summary: Vec<String>,
     }
 
-    /// What an operator changed.
+    /// Kind of a configuration change.
     #[serde(rename_all = "snake_case")]
     pub enum Change {
         /// The first configuration of an empty store.
         Initial,
         /// A confirmed plan.
         Plan {
-            /// Which plan.
+            /// The plan.
             plan: PlanId,
         },
-        /// A target VM to be emptied, or no longer.
+        /// The drain of a target VM started or ended.
         DrainVm {
             /// The VM.
             vm: VmName,
-            /// Whether it is to be emptied.
+            /// Whether the drain started; `false` if it ended.
             drained: bool,
         },
-        /// An entry VM to be emptied, or no longer.
+        /// The drain of an entry VM started or ended.
         DrainNode {
             /// The node.
             node: NodeName,
-            /// Whether it is to be emptied.
+            /// Whether the drain started; `false` if it ended.
             drained: bool,
         },
     }
--- a/crates/types/src/collections/alias.rs
+++ b/crates/types/src/collections/alias.rs
@@ -2,8 +2,7 @@
 
 /// A hash map with a fast, randomly seeded hasher.
 ///
-/// Iteration order differs from run to run: code that must be deterministic sorts or uses a
-/// `BTreeMap`.
+/// Iteration order differs between runs; use a `BTreeMap` where the order matters.
 pub type Map<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
 
 /// A hash set with the hasher of [`Map`].
--- a/crates/types/src/config/accepted.rs
+++ b/crates/types/src/config/accepted.rs
@@ -5,28 +5,28 @@
 use crate::names::{NodeName, VmName};
 
 number! {
-    /// Counts accepted configurations; a node never moves to a lower one.
+    /// Number of an accepted configuration; nodes never apply a lower one than they have.
     ConfigNumber(u64)
 }
 
 data! {
-    /// An accepted configuration, kept in the Object API at `config/current`.
+    /// An accepted configuration, stored in the Object API at `config/current`.
     ///
-    /// The record of the change that made it is part of the same object, so a change and its audit
-    /// record are written by one conditional update or not at all.
+    /// The object includes the record of the change that produced it, so that a change and its
+    /// audit record are written atomically.
     #[serde(deny_unknown_fields)]
     pub struct Config {
-        /// Which accepted configuration this is.
+        /// Number of this configuration.
         pub number: ConfigNumber,
-        /// What operators want served.
+        /// The intent in force.
         pub intent: Intent,
-        /// Target VMs that operators are emptying.
+        /// Target VMs drained by operators.
         #[serde(default)]
         pub drained_vms: Vec<VmName>,
-        /// Entry VMs that operators are emptying.
+        /// Entry VMs drained by operators.
         #[serde(default)]
         pub drained_nodes: Vec<NodeName>,
-        /// The change that made this configuration.
+        /// The change that produced this configuration.
         pub change: ChangeRecord,
     }
 }
--- a/crates/types/src/config/deployment.rs
+++ b/crates/types/src/config/deployment.rs
@@ -6,45 +6,45 @@
 };
 
 data! {
-    /// Whether a deployment's engines refuse an order with an old fencing number.
+    /// Whether a deployment's engines refuse orders with an outdated fencing number.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum FencingMode {
-        /// Engines refuse an order older than the newest they have seen.
+        /// Engines refuse a fencing number lower than the highest they have received.
         Checked,
-        /// Engines carry out any order; the controller waits old orders out instead.
+        /// Engines execute every order; the controller waits until earlier orders have expired.
         Ignored,
     }
 
-    /// One model version served by a number of replicas.
+    /// A model version served by a number of replicas.
     #[serde(deny_unknown_fields)]
     pub struct Deployment {
-        /// Unique among deployments.
+        /// Name, unique among deployments.
         pub name: DeploymentName,
-        /// The model that callers ask for.
+        /// The model that callers request.
         pub model: ModelName,
-        /// The version every replica loads.
+        /// The version that every replica loads.
         pub version: ModelVersion,
-        /// Adapters every replica can serve.
+        /// Adapters that every replica can serve.
         #[serde(default)]
         pub adapters: Vec<AdapterName>,
-        /// Size of the weights each VM loads, in bytes.
+        /// Size of the weights that each VM loads, in bytes.
         pub weights_bytes: u64,
-        /// Number of replicas wanted.
+        /// Desired number of replicas.
         pub replicas: u32,
-        /// VMs in each replica, all of one fabric domain.
+        /// Number of VMs in each replica, all in one fabric domain.
         pub vms_per_replica: u32,
-        /// Requests that one replica runs side by side.
+        /// Number of requests that one replica runs concurrently.
         pub slots_per_replica: u32,
-        /// Which deployment gives up VMs first when there are too few: the lowest.
+        /// Priority when VMs are scarce; the deployment with the lowest loses VMs first.
         pub priority: Priority,
-        /// Organisations that may use it; empty means all.
+        /// Organisations allowed to use the deployment; empty means all.
         #[serde(default)]
         pub organisations: Vec<OrganisationName>,
-        /// Data centres it may run in; empty means all.
+        /// Data centres in which replicas may run; empty means all.
         #[serde(default)]
         pub data_centres: Vec<DataCentreName>,
-        /// Whether its engines check fencing numbers.
+        /// Whether the engines check fencing numbers.
         pub fencing: FencingMode,
     }
 }
--- a/crates/types/src/config/intent.rs
+++ b/crates/types/src/config/intent.rs
@@ -3,18 +3,18 @@
 use crate::config::{Deployment, Objective, Organisation, PlainService};
 
 data! {
-    /// What operators want served, as written in the intent file.
+    /// Desired state declared by operators in the intent file.
     #[serde(deny_unknown_fields)]
     pub struct Intent {
-        /// Whose callers are served.
+        /// Organisations whose callers are served.
         pub organisations: Vec<Organisation>,
-        /// Which models are served, with how many replicas.
+        /// Models to serve and their numbers of replicas.
         #[serde(default)]
         pub deployments: Vec<Deployment>,
-        /// Plain services beside the engines.
+        /// Plain services to serve.
         #[serde(default)]
         pub services: Vec<PlainService>,
-        /// What a loss of service costs.
+        /// Cost weights for placement.
         pub objective: Objective,
     }
 }
--- a/crates/types/src/config/mod.rs
+++ b/crates/types/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What operators declare, and the configuration in force.
+//! Intent declared by operators, and the configuration in force.
 
 mod accepted;
 mod deployment;
--- a/crates/types/src/config/objective.rs
+++ b/crates/types/src/config/objective.rs
@@ -1,13 +1,13 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// What a loss of service costs; placement weighs its choices by it.
+    /// Weights of the cost that placement minimises.
     #[derive(Copy)]
     #[serde(deny_unknown_fields)]
     pub struct Objective {
-        /// Cost of one replica not serving whole for one second.
+        /// Cost of one second during which one replica is not whole.
         pub group_downtime_weight: f64,
-        /// Cost of one accelerator held for one second without useful serving.
+        /// Cost of one second during which one accelerator is held but unused.
         pub stranded_accelerator_weight: f64,
     }
 }
--- a/crates/types/src/config/organisation.rs
+++ b/crates/types/src/config/organisation.rs
@@ -3,19 +3,19 @@
 use crate::names::OrganisationName;
 
 number! {
-    /// How urgent work is; higher goes first, within fair shares.
+    /// Priority of a request or deployment; higher values go first, within fair shares.
     Priority(u8)
 }
 
 data! {
-    /// An organisation whose callers share API keys and a fair share.
+    /// An organisation, whose callers share its API keys and its fair share.
     #[serde(deny_unknown_fields)]
     pub struct Organisation {
-        /// Unique among organisations.
+        /// Name, unique among organisations.
         pub name: OrganisationName,
-        /// Worth of one answer in time, relative to other organisations.
+        /// Worth of one answer before its deadline, relative to other organisations.
         pub worth: u32,
-        /// Urgency of its requests.
+        /// Priority of the organisation's requests.
         pub priority: Priority,
         /// SHA-256 of each accepted API key, in lowercase hexadecimal.
         pub api_key_sha256: Vec<String>,
--- a/crates/types/src/config/service.rs
+++ b/crates/types/src/config/service.rs
@@ -5,31 +5,31 @@
 use crate::names::{DataCentreName, OrganisationName, ServiceName, VmName};
 
 data! {
-    /// A plain service beside the model engines, to which calls are passed through.
+    /// A service other than a model engine, to which calls are forwarded unchanged.
     #[serde(deny_unknown_fields)]
     pub struct PlainService {
-        /// The path segment callers use: `/services/<name>/...`.
+        /// Name, as in the path `/services/<name>/...`.
         pub name: ServiceName,
-        /// Where it runs.
+        /// Targets that run the service.
         pub targets: Vec<PlainTarget>,
-        /// Calls that one target runs side by side.
+        /// Number of calls that one target runs concurrently.
         pub slots_per_target: u32,
-        /// HTTP methods that may be repeated, such as `GET`.
+        /// HTTP methods that may be retried, such as `GET`.
         pub idempotent_methods: Vec<String>,
-        /// Organisations that may use it; empty means all.
+        /// Organisations allowed to use the service; empty means all.
         #[serde(default)]
         pub organisations: Vec<OrganisationName>,
     }
 
-    /// One VM of a plain service.
+    /// A VM that runs a plain service.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct PlainTarget {
         /// The VM.
         pub vm: VmName,
-        /// Where it answers.
+        /// Address of the service.
         pub address: SocketAddr,
-        /// Its data centre.
+        /// Data centre of the VM.
         pub data_centre: DataCentreName,
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,17 +1,17 @@
 //! Domain types shared by every process: names, intent, placement, reports, verdicts.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`names`] | names of VMs, organisations, deployments; fences, generations, incarnations |
-//! | [`time`] | instants and spans of one node's own elapsed time |
-//! | [`request`] | what callers ask, its verdict and its refusal |
-//! | [`config`] | what operators declare |
-//! | [`placement`] | which VM belongs to which replica |
-//! | [`report`] | what members and the platform report; orders to members |
-//! | [`audit`] | who changed what, and the plan that was confirmed |
-//! | [`operator`] | what operators ask of a controller, and its answers |
-//! | [`store`] | calls to the platform's Object API and their answers, as data |
-//! | [`collections`] | hash maps with a fast hasher |
+//! | [`names`] | names of VMs, deployments and others; fencing numbers, generations, incarnations |
+//! | [`time`] | instants on a node's own clock |
+//! | [`request`] | caller requests, their verdicts and refusals |
+//! | [`config`] | intent declared by operators, and the configuration in force |
+//! | [`placement`] | assignment of VMs to replicas |
+//! | [`report`] | reports by members and by the platform; orders to members |
+//! | [`audit`] | plans and records of configuration changes |
+//! | [`operator`] | operator requests to a controller, and its replies |
+//! | [`store`] | calls to the platform's Object API, and their replies |
+//! | [`collections`] | hash maps and sets with a fast hasher |
 
 pub mod audit;
 pub mod collections;
--- a/crates/types/src/names/incarnation.rs
+++ b/crates/types/src/names/incarnation.rs
@@ -5,7 +5,7 @@
 use crate::names::{Boot, NodeName};
 
 data! {
-    /// One start of one entry VM's process: dies with the process and never returns.
+    /// Identifies one start of an entry VM's process; a restart has a new incarnation.
     ///
     /// ```
     /// use celeryhaven_types::{Boot, Incarnation, NodeName};
@@ -19,13 +19,13 @@
     pub struct Incarnation {
         /// The entry VM.
         pub node: NodeName,
-        /// Which start of its process.
+        /// The start of its process.
         pub boot: Boot,
     }
 }
 
 impl Incarnation {
-    /// Names one start of a node's process.
+    /// Creates the incarnation of a node's process start.
     pub fn new(node: NodeName, boot: Boot) -> Self {
         Self { node, boot }
     }
--- a/crates/types/src/names/mod.rs
+++ b/crates/types/src/names/mod.rs
@@ -1,4 +1,4 @@
-//! Names and small numbers that identify things across processes.
+//! Names and numbers that identify resources across processes.
 
 mod incarnation;
 mod name;
--- a/crates/types/src/names/name.rs
+++ b/crates/types/src/names/name.rs
@@ -1,30 +1,30 @@
 use celeryhaven_derives::name;
 
 name! {
-    /// Names an adapter that a model can load.
+    /// Name of an adapter that a model can load.
     AdapterName
-    /// Names a data centre.
+    /// Name of a data centre.
     DataCentreName
-    /// Names a deployment: one model version served by a number of replicas.
+    /// Name of a deployment: a model version served by a number of replicas.
     DeploymentName
-    /// Names a fabric domain, the set of VMs among which a replica is fast.
+    /// Name of a fabric domain: the set of VMs within which a replica is placed.
     DomainName
-    /// Names a model.
+    /// Name of a model.
     ModelName
-    /// Names a version of a model.
+    /// Version of a model.
     ModelVersion
-    /// Names an entry VM.
+    /// Name of an entry VM.
     NodeName
-    /// Names an operator, as their certificate does.
+    /// Name of an operator, as in their certificate.
     OperatorName
-    /// Names an organisation whose callers share an API key and a fair share.
+    /// Name of an organisation.
     OrganisationName
-    /// Names a replica, unique over time: a name is never used again.
+    /// Name of a replica, never reused.
     ReplicaName
-    /// Identifies one request; targets echo it.
+    /// Identifier of a request, echoed by targets.
     RequestId
-    /// Names a plain service beside the model engines.
+    /// Name of a plain service.
     ServiceName
-    /// Names a target VM.
+    /// Name of a target VM.
     VmName
 }
--- a/crates/types/src/operator/mod.rs
+++ b/crates/types/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a controller, and its answers.
+//! Operator requests to a controller, and its replies.
 
 mod refusal;
 mod reply;
--- a/crates/types/src/operator/refusal.rs
+++ b/crates/types/src/operator/refusal.rs
@@ -7,9 +7,9 @@
 use crate::names::{DataCentreName, NodeName, OperatorName, VmName};
 
 data! {
-    /// Why an operator's request was not carried out.
+    /// Reason why an operator request was refused.
     ///
-    /// It reads as a sentence that says what to do next.
+    /// The `Display` text tells the operator what to do next.
     ///
     /// ```
     /// use celeryhaven_types::{OperatorRefusal, PlanId};
@@ -20,62 +20,63 @@
     #[derive(Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum OperatorRefusal {
-        /// The intent contradicts itself.
+        /// The intent is invalid.
         BadIntent {
-            /// One line each.
+            /// Description of each problem, as one line.
             problems: Vec<String>,
         },
-        /// There is no such plan.
+        /// No plan has this identifier.
         UnknownPlan {
-            /// The plan asked for.
+            /// The requested plan.
             plan: PlanId,
         },
-        /// The configuration has moved on since the plan was made; nothing changed.
+        /// The configuration has changed since the plan was made; nothing changed now.
         Conflict {
-            /// What the plan was made from.
+            /// The configuration from which the plan was made.
             base: ConfigNumber,
-            /// What is in force.
+            /// The configuration in force.
             current: ConfigNumber,
-            /// Who made the configuration in force.
+            /// The operator who confirmed the configuration in force.
             by: OperatorName,
         },
-        /// This plan has been confirmed before; nothing changed now.
+        /// The plan was confirmed earlier; nothing changed now.
         AlreadyConfirmed {
             /// The plan.
             plan: PlanId,
-            /// The configuration that it made.
+            /// The configuration that the plan produced.
             number: ConfigNumber,
-            /// Who confirmed it.
+            /// The operator who confirmed it.
             by: OperatorName,
         },
-        /// The change would not be in force within seconds in these data centres; nothing changed.
+        /// Some data centres have no recent status, so the change may not take effect there within
+        /// seconds; nothing changed.
         OldStatus {
-            /// Data centres that have not reported for long.
+            /// Data centres without a recent status.
             data_centres: Vec<DataCentreName>,
         },
         /// The VM list has no such target VM.
         UnknownVm {
-            /// The VM asked for.
+            /// The requested VM.
             vm: VmName,
         },
         /// The VM list has no such entry VM.
         UnknownNode {
-            /// The node asked for.
+            /// The requested node.
             node: NodeName,
         },
-        /// It is so already.
+        /// The requested state is already in force.
         NothingToChange,
-        /// There is no configuration yet.
+        /// No configuration has been accepted yet.
         NoConfig,
-        /// The Object API did not carry the request out; nothing changed.
+        /// The Object API is unavailable or rejected the call; nothing changed.
         StoreUnavailable,
-        /// The Object API did not answer; the change may be in force or may come into force.
+        /// The Object API did not answer; the change may have taken effect or may still do so.
         OutcomeUnknown,
     }
 }
 
 impl OperatorRefusal {
-    /// The fixed code that scripts match.
+    /// Returns the code that scripts match.
     pub const fn code(&self) -> &'static str {
         match self {
             Self::BadIntent { .. } => "bad_intent",
--- a/crates/types/src/operator/reply.rs
+++ b/crates/types/src/operator/reply.rs
@@ -4,18 +4,18 @@
 use crate::operator::{OperatorRefusal, StatusReport};
 
 data! {
-    /// A controller's answer to an operator.
+    /// A controller's reply to an operator request.
     #[serde(rename_all = "snake_case")]
     pub enum OperatorReply {
-        /// The plan asked for; it waits to be confirmed.
+        /// The requested plan, ready to be confirmed.
         Planned(Plan),
         /// The change is accepted and recorded.
         Accepted(ChangeRecord),
-        /// The state asked for.
+        /// The requested status.
         Status(StatusReport),
         /// The newest changes, newest first.
         Audit(Vec<ChangeRecord>),
-        /// Not done, and why.
+        /// The request was refused.
         Refused(OperatorRefusal),
     }
 }
--- a/crates/types/src/operator/request.rs
+++ b/crates/types/src/operator/request.rs
@@ -5,40 +5,40 @@
 use crate::names::{DataCentreName, NodeName, VmName};
 
 data! {
-    /// What an operator asks of a controller; who asks is known by certificate.
+    /// An operator's request to a controller, which takes the operator's name from its certificate.
     #[serde(rename_all = "snake_case")]
     pub enum OperatorRequest {
-        /// What would change if this intent were in force? Changes nothing.
+        /// Computes what an intent would change, without changing anything.
         Plan {
             /// The intent.
             intent: Intent,
         },
-        /// Put a plan in force.
+        /// Puts a plan in force.
         Confirm {
             /// The plan.
             plan: PlanId,
-            /// Data centres in which the change need not be in force within seconds.
+            /// Data centres whose status need not be recent.
             without: Vec<DataCentreName>,
         },
-        /// What is placed, held and in force?
+        /// Returns placements, leases and the configuration in force.
         Status,
-        /// Who changed what?
+        /// Returns the audit trail.
         Audit {
-            /// How many of the newest changes.
+            /// Number of changes to return, newest first.
             last: u32,
         },
-        /// Empty a target VM, or no longer.
+        /// Starts or ends the drain of a target VM.
         DrainVm {
             /// The VM.
             vm: VmName,
-            /// Whether it is to be emptied.
+            /// Whether to start the drain; `false` ends it.
             drained: bool,
         },
-        /// Empty an entry VM, or no longer.
+        /// Starts or ends the drain of an entry VM.
         DrainNode {
             /// The node.
             node: NodeName,
-            /// Whether it is to be emptied.
+            /// Whether to start the drain; `false` ends it.
             drained: bool,
         },
     }
--- a/crates/types/src/operator/status.rs
+++ b/crates/types/src/operator/status.rs
@@ -5,63 +5,63 @@
 use crate::placement::DomainPlacement;
 
 data! {
-    /// What a controller read to answer an operator.
+    /// State of the system, as read by a controller for an operator.
     #[serde(deny_unknown_fields)]
     pub struct StatusReport {
-        /// The configuration accepted last; zero if there is none.
+        /// The latest accepted configuration; zero if there is none.
         pub config_number: ConfigNumber,
-        /// Target VMs that operators are emptying.
+        /// Target VMs drained by operators.
         pub drained_vms: Vec<VmName>,
-        /// Entry VMs that operators are emptying.
+        /// Entry VMs drained by operators.
         pub drained_nodes: Vec<NodeName>,
-        /// Every fabric domain, by name.
+        /// All fabric domains, sorted by name.
         pub domains: Vec<DomainStatus>,
-        /// Every lease, by name.
+        /// All leases, sorted by name.
         pub leases: Vec<LeaseStatus>,
-        /// What each data centre reported last.
+        /// Latest status of each data centre.
         pub data_centres: Vec<DataCentreStatus>,
-        /// Replicas wanted that no fabric domain has room for.
+        /// Number of desired replicas that fit into no fabric domain.
         pub replicas_unplaced: u32,
     }
 
-    /// One fabric domain's placement.
+    /// Placement and health of a fabric domain.
     #[serde(deny_unknown_fields)]
     pub struct DomainStatus {
-        /// Its replicas with their VMs.
+        /// The domain's replicas with their VMs.
         pub placement: DomainPlacement,
-        /// Engine VMs of the domain that the VM list shows.
+        /// Number of the domain's engine VMs in the VM list.
         pub vms_listed: u32,
-        /// Replicas placed to serve that are not whole, as its holder saw last.
+        /// Serving replicas that are not whole, according to the domain's latest health report.
         pub broken: Vec<ReplicaName>,
     }
 
-    /// What the holder of a fabric domain sees of it, kept at `health/<domain>`.
+    /// Health of a fabric domain, written by its lease holder to `health/<domain>`.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct DomainHealth {
         /// The fabric domain.
         pub domain: DomainName,
-        /// Fencing number of the holder that wrote it.
+        /// Fencing number of the lease holder that wrote it.
         pub fence: Fence,
-        /// Identity of the write.
+        /// Identifier of the write.
         pub write_id: u64,
-        /// Replicas placed to serve that are not whole.
+        /// Serving replicas that are not whole.
         pub broken: Vec<ReplicaName>,
     }
 
-    /// Who acts for what.
+    /// A lease and its holder.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct LeaseStatus {
-        /// The lease, such as `leases/fabric-1`.
+        /// Key of the lease, such as `leases/fabric-1`.
         pub key: String,
-        /// Its holder.
+        /// Holder of the lease.
         pub holder: Incarnation,
-        /// Its fencing number.
+        /// Fencing number of the lease.
         pub fence: Fence,
     }
 
-    /// What an entry reports of its data centre, kept at `status/<data centre>`.
+    /// Status of a data centre, written by one of its entries to `status/<data centre>`.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct DataCentreStatus {
@@ -69,17 +69,17 @@
         pub data_centre: DataCentreName,
         /// The entry that wrote it.
         pub node: NodeName,
-        /// The lowest configuration in force among its entries.
+        /// Lowest configuration number in force among the data centre's entries.
         pub config_number: ConfigNumber,
-        /// Entries that the writer sees alive there.
+        /// Number of entries there that the writer considers alive.
         pub entries_alive: u32,
-        /// When, in milliseconds since the Unix epoch by the writer's clock.
+        /// Time of the write by the writer's clock, in milliseconds since the Unix epoch.
         pub at_unix_ms: u64,
     }
 }
 
 impl StatusReport {
-    /// The fabric domain's placement, if it has one.
+    /// Returns the placement of a fabric domain, if it has one.
     pub fn placement(&self, domain: &DomainName) -> Option<&DomainPlacement> {
         let mut placements = self.domains.iter().map(|status| &status.placement);
         placements.find(|placement| placement.domain == *domain)
--- a/crates/types/src/placement/domain.rs
+++ b/crates/types/src/placement/domain.rs
@@ -4,36 +4,36 @@
 use crate::placement::Replica;
 
 data! {
-    /// Every assignment of one fabric domain, kept in the Object API at `placement/<domain>`.
+    /// All VM assignments of a fabric domain, stored in the Object API at `placement/<domain>`.
     ///
-    /// A VM stands in at most one replica or among the releasing VMs, and one conditional update
-    /// replaces the whole object, so a VM never belongs to two replicas.
+    /// A VM is in at most one replica or in `releasing`. The object is replaced by a conditional
+    /// update, so a VM never belongs to two replicas.
     #[serde(deny_unknown_fields)]
     pub struct DomainPlacement {
         /// The fabric domain.
         pub domain: DomainName,
-        /// Its data centre.
+        /// The domain's data centre.
         pub data_centre: DataCentreName,
-        /// Fencing number of the holder that wrote it.
+        /// Fencing number of the lease holder that wrote it.
         pub fence: Fence,
-        /// Identity of the write, to find out whether a write without an answer took effect.
+        /// Identifier of the write, to check whether an unanswered write took effect.
         pub write_id: u64,
-        /// Number that the next replica of the domain takes into its name.
+        /// Number used in the name of the domain's next replica.
         pub next_replica: u64,
-        /// Replicas with their VMs.
+        /// Replicas and their VMs.
         pub replicas: Vec<Replica>,
-        /// VMs taken out of a replica and not free yet.
+        /// VMs removed from a replica but not yet free.
         #[serde(default)]
         pub releasing: Vec<ReleasingVm>,
     }
 
-    /// A VM that has left its replica but may still act on an order sent to it.
+    /// A VM removed from its replica that may still execute an order sent earlier.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct ReleasingVm {
         /// The VM.
         pub vm: VmName,
-        /// The replica it left.
+        /// The replica that the VM belonged to.
         pub replica: ReplicaName,
     }
 }
--- a/crates/types/src/placement/mod.rs
+++ b/crates/types/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which VM belongs to which replica.
+//! Assignment of VMs to replicas.
 
 mod domain;
 mod replica;
--- a/crates/types/src/placement/replica.rs
+++ b/crates/types/src/placement/replica.rs
@@ -3,35 +3,35 @@
 use crate::names::{DeploymentName, Generation, ModelName, ModelVersion, ReplicaName, VmName};
 
 data! {
-    /// Where a replica stands between its first order and its release.
+    /// Phase of a replica's life cycle.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum ReplicaPhase {
-        /// Its VMs are loading and joining; it gets no requests.
+        /// The VMs load weights and join; the replica receives no requests.
         Forming,
-        /// It gets requests while every member's report agrees.
+        /// The replica receives requests while the reports of all members agree.
         Serving,
-        /// It gets no new requests and finishes those it has.
+        /// The replica receives no new requests and completes those running.
         Draining,
     }
 
-    /// VMs that serve one copy of a model together.
+    /// A set of VMs that together serve one copy of a model.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Replica {
-        /// Unique over time.
+        /// Name, never reused.
         pub name: ReplicaName,
-        /// What it serves.
+        /// The deployment that the replica belongs to.
         pub deployment: DeploymentName,
-        /// The model callers ask for.
+        /// The model that callers request.
         pub model: ModelName,
-        /// The version its members load.
+        /// The version that the members load.
         pub version: ModelVersion,
-        /// Which formation this is.
+        /// Number of the current formation.
         pub generation: Generation,
-        /// Its members in rank order; rank 0 takes the requests.
+        /// Members in rank order; rank 0 receives the requests.
         pub vms: Vec<VmName>,
-        /// Where it stands.
+        /// Current phase.
         pub phase: ReplicaPhase,
     }
 }
--- a/crates/types/src/report/member.rs
+++ b/crates/types/src/report/member.rs
@@ -3,19 +3,19 @@
 use crate::names::{AdapterName, Boot, Fence, Generation, ModelVersion, ReplicaName, VmName};
 
 data! {
-    /// The formation a member believes it is part of.
+    /// The formation that a member reports to be part of.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Formation {
         /// The replica.
         pub replica: ReplicaName,
-        /// Which formation of it.
+        /// Generation of the replica.
         pub generation: Generation,
-        /// The version loaded.
+        /// The loaded version.
         pub version: ModelVersion,
-        /// Boot of every member in rank order, as this member met them when they joined.
+        /// Boot of every member in rank order, as received by this member when they joined.
         pub member_boots: Vec<Boot>,
-        /// Whether weights are loaded and every member has joined.
+        /// Whether the weights are loaded and every member has joined.
         pub ready: bool,
     }
 
@@ -24,27 +24,27 @@
     pub struct MemberReport {
         /// The reporting VM.
         pub vm: VmName,
-        /// Which start of its engine; a restarted engine has empty memory.
+        /// Boot of the engine; a restarted engine has empty memory.
         pub boot: Boot,
-        /// What it is part of, if anything.
+        /// The formation that the member is part of, if any.
         pub formation: Option<Formation>,
-        /// The newest fencing number it has seen.
+        /// The highest fencing number that the member has received.
         pub fence: Fence,
-        /// Requests running now.
+        /// Number of running requests.
         pub running: u32,
-        /// Requests waiting inside the engine.
+        /// Number of requests queued in the engine.
         pub waiting: u32,
-        /// Prompt tokens still to be prefilled.
+        /// Number of prompt tokens waiting for prefill.
         pub prefill_tokens_queued: u64,
-        /// KV cache in use, in thousandths.
+        /// KV cache usage, in thousandths.
         pub kv_used_permille: u32,
-        /// Tokens generated since its engine started.
+        /// Number of tokens generated since the engine started.
         pub tokens_generated: u64,
-        /// Age of the load figures when the report was answered, in milliseconds.
+        /// Age of the load figures when the report was sent, in milliseconds.
         pub load_age_ms: u64,
-        /// Adapters in memory.
+        /// Adapters loaded in memory.
         pub adapters_loaded: Vec<AdapterName>,
-        /// Weights loaded so far, in bytes.
+        /// Size of the weights loaded so far, in bytes.
         pub weights_loaded_bytes: u64,
     }
 }
--- a/crates/types/src/report/mod.rs
+++ b/crates/types/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What members and the platform report, and orders to members.
+//! Reports by members and by the platform, and orders to members.
 
 mod member;
 mod order;
--- a/crates/types/src/report/order.rs
+++ b/crates/types/src/report/order.rs
@@ -7,29 +7,30 @@
 };
 
 data! {
-    /// An order to one member, sent to `POST /orders`.
+    /// An order to a member, sent to `POST /orders`.
     #[serde(deny_unknown_fields)]
     pub struct Order {
         /// The fabric domain whose lease the fencing number belongs to.
         pub domain: DomainName,
-        /// Fencing number of the holder; engines that check refuse a lower one than seen.
+        /// Fencing number of the lease holder; engines that check it refuse a number lower than the
+        /// highest they have received.
         pub fence: Fence,
-        /// Identity of the order; an engine carries the same order out once.
+        /// Identifier of the order; an engine executes each order once.
         pub order_id: u64,
         /// What to do.
         pub kind: OrderKind,
     }
 
-    /// What an order asks of a member.
+    /// The operation that an order requests.
     #[serde(rename_all = "snake_case")]
     pub enum OrderKind {
-        /// Load weights and join a formation; replaces whatever the member was part of.
+        /// Loads weights and joins a formation, leaving any other formation.
         Join {
             /// The replica.
             replica: ReplicaName,
-            /// Which formation.
+            /// Generation of the replica.
             generation: Generation,
-            /// This member's rank.
+            /// Rank of this member.
             rank: u32,
             /// Addresses of all members in rank order.
             members: Vec<SocketAddr>,
@@ -42,19 +43,19 @@
             /// Size of the weights to load, in bytes.
             weights_bytes: u64,
         },
-        /// Take no new requests; finish those running.
+        /// Stops accepting requests and completes those running.
         Drain {
             /// The replica to drain.
             replica: ReplicaName,
         },
-        /// Leave the formation and free the memory.
+        /// Leaves the formation and frees its memory.
         Release {
             /// The replica to leave; a member of another one ignores the order.
             replica: ReplicaName,
-            /// The boot it is meant for; a restarted engine ignores it.
+            /// The boot for which the order is valid; a restarted engine ignores the order.
             boot: Option<Boot>,
         },
-        /// Load an adapter beside the weights.
+        /// Loads an adapter in addition to the weights.
         LoadAdapter {
             /// The adapter.
             adapter: AdapterName,
--- a/crates/types/src/report/vm.rs
+++ b/crates/types/src/report/vm.rs
@@ -5,21 +5,21 @@
 use crate::names::{DataCentreName, DomainName, VmName};
 
 data! {
-    /// Whether the platform means to keep a VM.
+    /// Whether the platform is about to stop a VM.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum VmPhase {
-        /// It stays.
+        /// The VM keeps running.
         Live,
-        /// It will be stopped soon.
+        /// The VM will be stopped soon.
         Leaving,
     }
 
-    /// What a VM is for.
+    /// Role of a VM.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum VmRole {
-        /// Runs the system's own processes.
+        /// Runs this system's processes.
         Entry,
         /// Runs an engine.
         Engine,
@@ -27,23 +27,23 @@
         Plain,
     }
 
-    /// One line of the platform's VM list (`GET /vms`), which lags.
+    /// An entry of the platform's VM list (`GET /vms`), which may be out of date.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct VmEntry {
         /// The VM.
         pub vm: VmName,
-        /// What it is for.
+        /// Role of the VM.
         pub role: VmRole,
-        /// Where its engine, service or entry answers HTTP.
+        /// HTTP address of the VM's engine, service or entry.
         pub address: SocketAddr,
-        /// Its data centre.
+        /// Data centre of the VM.
         pub data_centre: DataCentreName,
-        /// Its fabric domain, for engines.
+        /// Fabric domain of the VM, for engines.
         pub domain: Option<DomainName>,
-        /// Accelerators it holds.
+        /// Number of accelerators in the VM.
         pub accelerators: u32,
-        /// Whether it stays.
+        /// Whether the VM is about to be stopped.
         pub phase: VmPhase,
     }
 }
--- a/crates/types/src/request/head.rs
+++ b/crates/types/src/request/head.rs
@@ -4,60 +4,60 @@
 use crate::names::{AdapterName, ModelName, OrganisationName, RequestId, ServiceName};
 
 data! {
-    /// Whether a request may be run again after a failure.
+    /// Whether a request may be retried after it may have run.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Idempotency {
-        /// Running it twice does no harm.
+        /// Running the request more than once is safe.
         Idempotent,
-        /// It runs at most once.
+        /// The request runs at most once.
         NonIdempotent,
     }
 
-    /// Which kind of target serves a request.
+    /// Kind of target that serves a request.
     #[derive(Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum RequestClass {
         /// A completion by a model engine.
         Completion {
-            /// The model asked for.
+            /// The requested model.
             model: ModelName,
-            /// The adapter asked for, if any.
+            /// The requested adapter, if any.
             adapter: Option<AdapterName>,
         },
-        /// A call passed through to a plain service.
+        /// A call forwarded to a plain service.
         Plain {
-            /// The service asked for.
+            /// The requested service.
             service: ServiceName,
         },
     }
 
-    /// What the policy knows of a request before it runs.
+    /// Properties of a request on which scheduling and routing decide.
     #[serde(deny_unknown_fields)]
     pub struct RequestHead {
-        /// Identity that the target echoes.
+        /// Identifier that the target echoes.
         pub id: RequestId,
-        /// Whose share it counts against.
+        /// The organisation whose fair share the request counts against.
         pub organisation: OrganisationName,
-        /// Which kind of target serves it.
+        /// The kind of target that serves the request.
         pub class: RequestClass,
-        /// How urgent the organisation calls it.
+        /// Priority that the organisation assigns to the request.
         pub priority: Priority,
-        /// Worth of an answer in time, relative to other requests.
+        /// Worth of an answer before the deadline, relative to other requests.
         pub worth: u32,
-        /// Whether it may be run again.
+        /// Whether the request may be retried after it may have run.
         pub idempotency: Idempotency,
-        /// Time left until the answer is worthless, in milliseconds from arrival.
+        /// Deadline, in milliseconds from arrival.
         pub deadline_in_ms: u64,
-        /// Time within which its answer is to begin, in milliseconds from arrival; `None` if only the
-        /// deadline bounds it.
+        /// Deadline for the first byte of the answer, in milliseconds from arrival; `None` if only
+        /// `deadline_in_ms` applies.
         #[serde(default)]
         pub start_within_ms: Option<u64>,
-        /// Tokens of the prompt, estimated by the entry.
+        /// Number of prompt tokens, estimated by the entry.
         pub prompt_tokens: u32,
-        /// Tokens of the answer at most, as the caller asked.
+        /// Maximum number of output tokens, as requested by the caller.
         pub output_tokens_max: u32,
-        /// Hashes of the prompt's leading blocks, the longest prefix last.
+        /// Hashes of the prompt's prefixes at block boundaries, shortest first.
         pub prefix_hashes: Vec<u64>,
     }
 }
--- a/crates/types/src/request/mod.rs
+++ b/crates/types/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What callers ask, its verdict and its refusal.
+//! Caller requests, their verdicts and refusals.
 
 mod head;
 mod refusal;
--- a/crates/types/src/request/refusal.rs
+++ b/crates/types/src/request/refusal.rs
@@ -3,15 +3,15 @@
 use crate::request::Verdict;
 
 data! {
-    /// Why a request got no answer; the fixed code callers see.
+    /// Reason code of a refusal, as sent to callers.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum RefusalCode {
-        /// The body is not what the endpoint accepts.
+        /// The request body is malformed or not valid for the endpoint.
         BadRequest,
         /// The API key is missing or belongs to no organisation.
         Unauthenticated,
-        /// The organisation may not use this model or service.
+        /// The organisation is not allowed to use this model or service.
         Forbidden,
         /// No deployment serves this model.
         UnknownModel,
@@ -19,33 +19,33 @@
         UnknownService,
         /// The body is larger than the limit.
         BodyTooLarge,
-        /// The caller sent its request too slowly.
+        /// The caller did not send its request within the read timeout.
         SlowCaller,
-        /// It could not finish by its deadline.
+        /// The request could not complete by its deadline.
         DeadlineUnreachable,
-        /// The queue is full for this organisation.
+        /// The organisation's queue is full.
         Overloaded,
-        /// No whole replica can be reached now.
+        /// No whole replica is reachable.
         NoReplica,
-        /// This node is leaving or its configuration is too old to vouch for.
+        /// This node is leaving, or its configuration could not be confirmed as current.
         NodeUnavailable,
-        /// The request key was not issued by this system, or has expired.
+        /// The request key was not issued by this system or has expired.
         UnknownKey,
-        /// Another request with this key is running.
+        /// Another request with the same key is running.
         KeyInUse,
-        /// The claim for a caller's own key could not be kept in the Object API.
+        /// The claim on a key chosen by the caller could not be stored in the Object API.
         ClaimUnavailable,
-        /// The target broke off or its answer was lost.
+        /// The target's answer was interrupted or lost.
         AnswerLost,
-        /// The incarnation that issued the key is gone.
+        /// The incarnation that issued the key no longer exists.
         IssuerGone,
-        /// The caller went away.
+        /// The caller disconnected.
         CallerGone,
     }
 }
 
 impl RefusalCode {
-    /// The HTTP status that carries the code.
+    /// Returns the HTTP status sent with the code.
     pub const fn http_status(self) -> u16 {
         match self {
             Self::BadRequest | Self::UnknownKey => 400,
@@ -67,21 +67,21 @@
 }
 
 data! {
-    /// The final answer to a request that will not be served.
+    /// Final answer to a request that is not served.
     #[derive(Copy, Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Refusal {
-        /// Why.
+        /// The reason.
         pub code: RefusalCode,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         pub verdict: Verdict,
-        /// When to ask again, from now; `None` if asking again cannot help.
+        /// Delay before a retry; `None` if a retry cannot succeed.
         pub retry_after_ms: Option<u64>,
     }
 }
 
 impl Refusal {
-    /// A refusal of a request that no target ran.
+    /// Creates a refusal of a request that no target has run.
     ///
     /// ```
     /// use celeryhaven_types::{Refusal, RefusalCode, Verdict};
@@ -93,12 +93,12 @@
         Self { code, verdict: Verdict::NotRun, retry_after_ms: None }
     }
 
-    /// A refusal of a request that a target may have run.
+    /// Creates a refusal of a request that a target may have run.
     pub const fn may_have_run(code: RefusalCode) -> Self {
         Self { code, verdict: Verdict::MayHaveRun, retry_after_ms: None }
     }
 
-    /// Tells the caller when to ask again, from now.
+    /// Sets the delay after which the caller may retry.
     pub const fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
--- a/crates/types/src/request/verdict.rs
+++ b/crates/types/src/request/verdict.rs
@@ -1,25 +1,25 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// Says whether a request may have run.
+    /// Whether a request may have run.
     ///
-    /// [`Verdict::NotRun`] is said only while no byte has left for a target, or on a refusal that
-    /// the target's protocol defines as not run. Everything after the first byte that is not a
-    /// whole answer is [`Verdict::MayHaveRun`].
+    /// [`Verdict::NotRun`] requires that no byte was sent to a target, or that the target sent a
+    /// refusal which its protocol defines as not run. Any other failure after the first byte is
+    /// [`Verdict::MayHaveRun`].
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Verdict {
-        /// The caller got the whole answer to its own request.
+        /// The caller received the complete answer to its request.
         Answered,
-        /// No target ran the request, and none will.
+        /// No target has run the request, and none will.
         NotRun,
-        /// A target may have run the request, or may still.
+        /// A target may have run the request or may still run it.
         MayHaveRun,
     }
 }
 
 impl Verdict {
-    /// The word used in headers, logs and metrics.
+    /// Returns the name used in headers, logs and metrics.
     ///
     /// ```
     /// assert_eq!(celeryhaven_types::Verdict::NotRun.as_str(), "not_run");
--- a/crates/types/src/store/mod.rs
+++ b/crates/types/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's Object API and their answers, as data.
+//! Calls to the platform's Object API, and their replies.
 
 mod object;
 mod reply;
--- a/crates/types/src/store/object.rs
+++ b/crates/types/src/store/object.rs
@@ -3,33 +3,33 @@
 use celeryhaven_derives::{data, name, number};
 
 name! {
-    /// Names an object, such as `config/current`.
+    /// Key of an object, such as `config/current`.
     ObjectKey
 }
 
 number! {
-    /// Version of an object: the store's one growing count at its last write.
+    /// Version of an object: the store-wide write counter at the object's last write.
     ObjectVersion(u64)
 }
 
 data! {
-    /// One object as read.
+    /// An object as read from the store.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Object {
-        /// Its name.
+        /// Key of the object.
         pub key: ObjectKey,
-        /// Its version.
+        /// Version of the object.
         pub version: ObjectVersion,
-        /// Its value, as JSON text of at most 1 MiB.
+        /// Value of the object, as JSON text of at most 1 MiB.
         pub value: Arc<str>,
     }
 
-    /// One change that a watch delivered.
+    /// A change of an object, as returned by a watch.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct ObjectChange {
-        /// Its name.
+        /// Key of the object.
         pub key: ObjectKey,
         /// The store's version at the change.
         pub version: ObjectVersion,
--- a/crates/types/src/store/reply.rs
+++ b/crates/types/src/store/reply.rs
@@ -3,17 +3,17 @@
 use crate::store::{Object, ObjectChange, ObjectVersion};
 
 state! {
-    /// What became of a call to the Object API.
+    /// Outcome of a call to the Object API.
     pub enum StoreReply {
         /// The object was read.
         Found(Object),
-        /// There is no such object.
+        /// The object does not exist.
         Missing,
-        /// Objects below the prefix, at one version of the store.
+        /// Objects with the prefix, at one version of the store.
         Listed {
             /// The store's version.
             version: ObjectVersion,
-            /// The objects, by name.
+            /// The objects, sorted by key.
             objects: Vec<Object>,
         },
         /// The write took effect.
@@ -21,26 +21,27 @@
             /// The object's new version.
             version: ObjectVersion,
         },
-        /// The write did not take effect: the object is at another version, or exists.
+        /// The write did not take effect: the object has another version or already exists.
         Conflict,
-        /// Changes that the watch saw; none if it waited in vain.
+        /// Changes observed by the watch; empty if there were none before its timeout.
         Changes {
-            /// The version up to which nothing is missing.
+            /// The version up to which the changes are complete.
             version: ObjectVersion,
-            /// The changes in order.
+            /// The changes, in order.
             changes: Vec<ObjectChange>,
         },
-        /// The watch asked for changes that the store no longer keeps; list again.
+        /// The store no longer has the changes after the requested version; list the objects again.
         TooOld,
-        /// The store refused the call without carrying it out, such as for its rate.
+        /// The store rejected the call without executing it, such as by rate limiting.
         Rejected,
-        /// No answer: a write may have taken effect, and must be read back before another try.
+        /// The store did not answer; a write may have taken effect and must be read back before a
+        /// retry.
         Unknown,
     }
 }
 
 impl StoreReply {
-    /// Whether the store answered and did not turn the call away.
+    /// Whether the store answered and did not reject the call.
     pub const fn is_processed(&self) -> bool {
         !matches!(self, Self::Rejected | Self::Unknown)
     }
--- a/crates/types/src/store/request.rs
+++ b/crates/types/src/store/request.rs
@@ -5,60 +5,60 @@
 use crate::store::{ObjectKey, ObjectVersion};
 
 number! {
-    /// Matches an answer of the Object API to the call that asked for it, inside one node.
+    /// Identifier of a call to the Object API within a node, to match its reply.
     StoreCallId(u64)
 }
 
 state! {
     /// A call to the Object API.
     pub enum StoreRequest {
-        /// Reads one object.
+        /// Reads an object.
         Get {
-            /// Which.
+            /// Key of the object.
             key: ObjectKey,
         },
-        /// Reads every object below a prefix.
+        /// Reads all objects with a prefix.
         List {
             /// The prefix.
             prefix: ObjectKey,
         },
-        /// Writes an object that must not exist yet.
+        /// Creates an object; fails if it exists.
         Create {
-            /// Which.
+            /// Key of the object.
             key: ObjectKey,
-            /// Its value, as JSON text.
+            /// Value of the object, as JSON text.
             value: Arc<str>,
         },
-        /// Replaces an object that must still have this version.
+        /// Replaces an object; fails if it has another version.
         Update {
-            /// Which.
+            /// Key of the object.
             key: ObjectKey,
-            /// The version it was read at.
+            /// The expected version.
             version: ObjectVersion,
-            /// Its new value, as JSON text.
+            /// New value of the object, as JSON text.
             value: Arc<str>,
         },
-        /// Deletes an object that must still have this version.
+        /// Deletes an object; fails if it has another version.
         Delete {
-            /// Which.
+            /// Key of the object.
             key: ObjectKey,
-            /// The version it was read at.
+            /// The expected version.
             version: ObjectVersion,
         },
-        /// Waits for changes below a prefix; counts as a call while it waits.
+        /// Waits for changes of objects with a prefix; counts as an open call while it waits.
         Watch {
             /// The prefix.
             prefix: ObjectKey,
-            /// Changes after this version are wanted.
+            /// The version after which changes are returned.
             from: ObjectVersion,
-            /// How long to wait for the first one.
+            /// How long to wait for the first change.
             wait_ms: u64,
         },
     }
 }
 
 impl StoreRequest {
-    /// Whether it changes an object.
+    /// Whether the call changes an object.
     pub const fn is_write(&self) -> bool {
         matches!(self, Self::Create { .. } | Self::Update { .. } | Self::Delete { .. })
     }
--- a/crates/types/src/time/mod.rs
+++ b/crates/types/src/time/mod.rs
@@ -1,4 +1,4 @@
-//! Instants and spans of one node's own elapsed time.
+//! Instants on a node's own clock.
 
 mod time_ms;
 
--- a/crates/types/src/time/time_ms.rs
+++ b/crates/types/src/time/time_ms.rs
@@ -1,10 +1,10 @@
 use celeryhaven_derives::number;
 
 number! {
-    /// An instant on one node's own clock, in milliseconds since an arbitrary start.
+    /// An instant on a node's own clock, in milliseconds since an arbitrary start.
     ///
-    /// Two nodes' instants are never compared. The driver reads a clock that also counts time
-    /// spent suspended, so that a VM that wakes from a pause sees the pause.
+    /// Instants of different nodes are not comparable. The clock includes time during which the VM
+    /// is suspended.
     ///
     /// ```
     /// use celeryhaven_types::TimeMs;
@@ -16,17 +16,17 @@
 }
 
 impl TimeMs {
-    /// The instant `span_ms` later.
+    /// Returns the instant `span_ms` later, saturating at the maximum.
     pub const fn after(self, span_ms: u64) -> Self {
         Self(self.0.saturating_add(span_ms))
     }
 
-    /// The instant this many milliseconds earlier, but not before the first one.
+    /// Returns the instant `span_ms` earlier, saturating at zero.
     pub const fn before(self, span_ms: u64) -> Self {
         Self(self.0.saturating_sub(span_ms))
     }
 
-    /// Milliseconds from `earlier` to this instant, zero if `earlier` is later.
+    /// Returns the milliseconds from `earlier` to this instant, or zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
