--- a/crates/settings/src/error/mod.rs
+++ b/crates/settings/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file.
+//! Errors in settings and intent files.
 
 mod settings_error;
 
--- a/crates/settings/src/error/settings_error.rs
+++ b/crates/settings/src/error/settings_error.rs
@@ -1,6 +1,6 @@
 use snafu::Snafu;
 
-/// What is wrong with a settings or intent file, and what to write instead.
+/// An error in a settings or intent file.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -10,55 +10,55 @@
     Read {
         /// The file.
         file: String,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The text is not YAML, or not of the expected shape.
+    /// The text is not valid YAML or has an unexpected structure.
     #[snafu(display("{file}:{line}:{column}: {message}"))]
     Syntax {
         /// The file.
         file: String,
-        /// The line, from 1.
+        /// The line, starting at 1.
         line: u64,
-        /// The column, from 1.
+        /// The column, starting at 1.
         column: u64,
-        /// What the YAML reader found.
+        /// Message of the YAML parser.
         message: String,
     },
-    /// A field has a value that is not accepted.
+    /// A field has an invalid value.
     #[snafu(display("{file}:{line}: `{field}` is `{found}`; write {accepted}"))]
     Value {
         /// The file.
         file: String,
-        /// The line, from 1.
+        /// The line, starting at 1.
         line: u64,
-        /// The field, as a path from the top.
+        /// Path of the field from the root.
         field: String,
-        /// What stands there.
+        /// The value found.
         found: String,
-        /// What is accepted.
+        /// Description of the accepted values.
         accepted: String,
     },
-    /// There is no field of this name.
+    /// A field is unknown.
     #[snafu(display("{file}:{line}: `{field}` is not a known field; known are {known}"))]
     Unknown {
         /// The file.
         file: String,
-        /// The line, from 1.
+        /// The line, starting at 1.
         line: u64,
-        /// The field that was found.
+        /// The unknown field.
         field: String,
-        /// All that are accepted.
+        /// The known fields.
         known: String,
     },
-    /// A field without a default is not there.
+    /// A required field is missing.
     #[snafu(display("{file}: `{field}` is missing; add it with {accepted}"))]
     Missing {
         /// The file.
         file: String,
         /// The field.
         field: String,
-        /// What is accepted.
+        /// Description of the accepted values.
         accepted: String,
     },
 }
--- a/crates/settings/src/field/kind.rs
+++ b/crates/settings/src/field/kind.rs
@@ -1,66 +1,66 @@
-/// What a setting accepts, and its default.
+/// Kind of value that a setting accepts, with its default.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// Up to 63 lowercase letters, digits and hyphens, as in a host name; no default.
+    /// A name of 1 to 63 lowercase letters, digits and hyphens; no default.
     Name,
     /// An IP address and port; no default.
     Address,
     /// A list of IP addresses and ports; empty by default.
     Addresses,
-    /// A path of a file; no default.
+    /// A file path; no default.
     File,
-    /// A whole number within bounds.
+    /// An integer within bounds.
     Number {
-        /// The least that is accepted.
-        least: u64,
-        /// The most that is accepted.
-        most: u64,
-        /// Taken when the field is missing.
+        /// Minimum, inclusive.
+        min: u64,
+        /// Maximum, inclusive.
+        max: u64,
+        /// Value if the field is missing.
         default: u64,
     },
-    /// A number within bounds that may have a fraction.
+    /// A decimal number within bounds.
     Decimal {
-        /// The least that is accepted.
-        least: f64,
-        /// The most that is accepted.
-        most: f64,
-        /// Taken when the field is missing.
+        /// Minimum, inclusive.
+        min: f64,
+        /// Maximum, inclusive.
+        max: f64,
+        /// Value if the field is missing.
         default: f64,
     },
-    /// One of some words.
+    /// One of a fixed set of words.
     Choice {
-        /// The words.
+        /// The accepted words.
         words: &'static [&'static str],
-        /// Taken when the field is missing.
+        /// Value if the field is missing.
         default: &'static str,
     },
 }
 
 impl Kind {
-    /// A whole number within bounds, with a default.
-    pub const fn number(least: u64, most: u64, default: u64) -> Self {
-        Self::Number { least, most, default }
+    /// Creates a [`Kind::Number`].
+    pub const fn number(min: u64, max: u64, default: u64) -> Self {
+        Self::Number { min, max, default }
     }
 
-    /// A number that may have a fraction, within bounds, with a default.
-    pub const fn decimal(least: f64, most: f64, default: f64) -> Self {
-        Self::Decimal { least, most, default }
+    /// Creates a [`Kind::Decimal`].
+    pub const fn decimal(min: f64, max: f64, default: f64) -> Self {
+        Self::Decimal { min, max, default }
     }
 
-    /// What is accepted, in words.
+    /// Returns a description of the accepted values.
     pub fn accepted(&self) -> String {
         match self {
             Self::Name => "1 to 63 lowercase letters, digits and hyphens".into(),
             Self::Address => "an IP address and port, such as 10.0.0.1:7000".into(),
             Self::Addresses => "a list of IP addresses and ports, such as [10.0.0.1:7100]".into(),
             Self::File => "the path of a file".into(),
-            Self::Number { least, most, .. } => format!("a whole number from {least} to {most}"),
-            Self::Decimal { least, most, .. } => format!("a number from {least} to {most}"),
+            Self::Number { min, max, .. } => format!("a whole number from {min} to {max}"),
+            Self::Decimal { min, max, .. } => format!("a number from {min} to {max}"),
             Self::Choice { words, .. } => format!("one of {}", words.join(", ")),
         }
     }
 
-    /// The default as text; `None` if the field must be written.
+    /// Returns the default as text; `None` if the field is required.
     pub fn default_text(&self) -> Option<String> {
         match self {
             Self::Name | Self::Address | Self::File => None,
--- a/crates/settings/src/field/mod.rs
+++ b/crates/settings/src/field/mod.rs
@@ -1,4 +1,4 @@
-//! What each setting accepts.
+//! Names, accepted values and defaults of settings.
 
 mod kind;
 mod spec;
@@ -8,6 +8,6 @@
 pub use kind::Kind;
 pub use spec::Field;
 pub(crate) use spec::read_field;
-pub(crate) use spec::refuse_unknown;
-pub use table::table;
+pub(crate) use spec::reject_unknown_fields;
+pub use table::markdown_table;
 pub(crate) use value::FromNode;
--- a/crates/settings/src/field/spec.rs
+++ b/crates/settings/src/field/spec.rs
@@ -2,7 +2,7 @@
 use crate::field::{FromNode, Kind};
 use crate::yaml::{Document, Located, Node};
 
-/// Suffixes of names with their units; the longer one first where two fit.
+/// Name suffixes and their units; a suffix precedes any shorter one that also matches.
 const UNITS: [(&str, &str); 4] = [
     ("_ms", "milliseconds"),
     ("_bytes_per_s", "bytes a second"),
@@ -10,19 +10,19 @@
     ("_bytes", "bytes"),
 ];
 
-/// One setting: its name, what it accepts and what it means.
+/// A setting: its name, accepted values and meaning.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Field {
-    /// Its name in the file.
+    /// Name of the field in the file.
     pub name: &'static str,
-    /// What it accepts.
+    /// Accepted values and default.
     pub kind: Kind,
-    /// What it means, as one line.
+    /// Meaning of the setting, as one line.
     pub meaning: &'static str,
 }
 
 impl Field {
-    /// The unit, which is the name's suffix; `None` for what has no unit.
+    /// Returns the unit that the name's suffix denotes, if any.
     ///
     /// ```
     /// use celeryhaven_settings::{Field, Kind};
@@ -34,17 +34,17 @@
     }
 }
 
-/// Reads one field of a document, or its default.
+/// Reads a field of a document, or returns its default.
 pub(crate) fn read_field<T: FromNode>(
     document: &Document,
     field: &Field,
 ) -> Result<T, SettingsError> {
-    let written = document
+    let found = document
         .fields()?
         .iter()
         .find(|(key, _)| key.node.as_text() == Some(field.name))
         .map(|(_, value)| &value.node);
-    let node = match (written, field.kind.default_text()) {
+    let node = match (found, field.kind.default_text()) {
         (Some(node), _) => node.clone(),
         (None, Some(_)) if matches!(field.kind, Kind::Addresses) => Node::List(Vec::new()),
         (None, Some(text)) => Node::Scalar(text),
@@ -60,12 +60,15 @@
         .ok_or_else(|| document.value_error(field.name, field.kind.accepted()))
 }
 
-/// Refuses a document that has a field which is not in the list.
-pub(crate) fn refuse_unknown(document: &Document, fields: &[Field]) -> Result<(), SettingsError> {
-    let known = |(key, _): &&(Located, Located)| {
+/// Rejects a document with a field that is not in `fields`.
+pub(crate) fn reject_unknown_fields(
+    document: &Document,
+    fields: &[Field],
+) -> Result<(), SettingsError> {
+    let is_unknown = |(key, _): &&(Located, Located)| {
         !fields.iter().any(|field| key.node.as_text() == Some(field.name))
     };
-    match document.fields()?.iter().find(known) {
+    match document.fields()?.iter().find(is_unknown) {
         None => Ok(()),
         Some((key, _)) => Err(SettingsError::Unknown {
             file: document.file.clone(),
--- a/crates/settings/src/field/table.rs
+++ b/crates/settings/src/field/table.rs
@@ -1,13 +1,13 @@
 use crate::field::Field;
 
-/// The settings page's table of some fields, in Markdown.
+/// Returns the table of fields for the settings page, in Markdown.
 ///
 /// ```
-/// use celeryhaven_settings::{OperatorSettings, field::table};
-/// let table = table(OperatorSettings::FIELDS);
+/// use celeryhaven_settings::{OperatorSettings, field::markdown_table};
+/// let table = markdown_table(OperatorSettings::FIELDS);
 /// assert!(table.contains("| `timeout_ms` | milliseconds | 10000 | a whole number from 100 to"));
 /// ```
-pub fn table(fields: &[Field]) -> String {
+pub fn markdown_table(fields: &[Field]) -> String {
     let head = "| setting | unit | default | accepted | meaning |\n|---|---|---|---|---|\n";
     let rows = fields.iter().map(|field| {
         let unit = field.unit().unwrap_or("");
--- a/crates/settings/src/field/value.rs
+++ b/crates/settings/src/field/value.rs
@@ -6,16 +6,16 @@
 use crate::field::Kind;
 use crate::yaml::Node;
 
-/// A type that a setting can have.
+/// A type that can be read from the value of a setting.
 pub(crate) trait FromNode: Sized {
-    /// Takes the value from the file; `None` if it is not accepted.
+    /// Converts a node; returns `None` if `kind` does not accept its value.
     fn from_node(node: &Node, kind: &Kind) -> Option<Self>;
 }
 
 impl FromNode for u64 {
     fn from_node(node: &Node, kind: &Kind) -> Option<Self> {
-        let Kind::Number { least, most, .. } = kind else { return None };
-        node.as_text()?.parse().ok().filter(|value| (least..=most).contains(&value))
+        let Kind::Number { min, max, .. } = kind else { return None };
+        node.as_text()?.parse().ok().filter(|value| (min..=max).contains(&value))
     }
 }
 
@@ -33,8 +33,8 @@
 
 impl FromNode for f64 {
     fn from_node(node: &Node, kind: &Kind) -> Option<Self> {
-        let Kind::Decimal { least, most, .. } = kind else { return None };
-        node.as_text()?.parse().ok().filter(|value| (least..=most).contains(&value))
+        let Kind::Decimal { min, max, .. } = kind else { return None };
+        node.as_text()?.parse().ok().filter(|value| (min..=max).contains(&value))
     }
 }
 
@@ -63,18 +63,18 @@
 
 impl FromNode for NodeName {
     fn from_node(node: &Node, _kind: &Kind) -> Option<Self> {
-        host_label(node).map(Self::new)
+        as_host_label(node).map(Self::new)
     }
 }
 
 impl FromNode for DataCentreName {
     fn from_node(node: &Node, _kind: &Kind) -> Option<Self> {
-        host_label(node).map(Self::new)
+        as_host_label(node).map(Self::new)
     }
 }
 
-/// A name that can also stand in a certificate as a part of a host name.
-fn host_label(node: &Node) -> Option<&str> {
-    let accepted = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    node.as_text().filter(|text| (1..=63).contains(&text.len()) && text.chars().all(accepted))
+/// Returns the text if it is also valid as a label of a host name in a certificate.
+fn as_host_label(node: &Node) -> Option<&str> {
+    let is_accepted = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    node.as_text().filter(|text| (1..=63).contains(&text.len()) && text.chars().all(is_accepted))
 }
--- a/crates/settings/src/intent/load.rs
+++ b/crates/settings/src/intent/load.rs
@@ -4,12 +4,12 @@
 use crate::intent::check::first_problem;
 use crate::yaml::Document;
 
-/// Reads an intent file and checks what it says.
+/// Reads and validates an intent file.
 pub fn load_intent(file: &str) -> Result<Intent, SettingsError> {
     from_document(&Document::load(file)?)
 }
 
-/// Checks the text of an intent file; `file` is named in errors.
+/// Parses and validates the text of an intent file; `file` is used in errors.
 ///
 /// ```
 /// let error = celeryhaven_settings::parse_intent("intent.yaml", "organisations: []\n").unwrap_err();
@@ -20,8 +20,8 @@
 }
 
 fn from_document(document: &Document) -> Result<Intent, SettingsError> {
-    let intent: Intent =
-        serde_saphyr::from_str(&document.text).map_err(|error| document.shape_error(&error))?;
+    let intent: Intent = serde_saphyr::from_str(&document.text)
+        .map_err(|error| document.deserialize_error(&error))?;
     match first_problem(&intent) {
         None => Ok(intent),
         Some(problem) => Err(document.value_error(&problem.path, problem.accepted)),
--- a/crates/settings/src/intent/mod.rs
+++ b/crates/settings/src/intent/mod.rs
@@ -1,4 +1,4 @@
-//! What operators want served, as files.
+//! Intent files.
 
 mod check;
 mod load;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,11 @@
-//! Process settings and intent files in YAML, checked field by field.
+//! Process settings and intent files in YAML, validated field by field.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`process`] | settings of the entry, the controller and the operators' command |
-//! | [`intent`] | what operators want served |
-//! | [`field`] | what each setting accepts, for the checks and for the settings page |
-//! | [`error`] | what is wrong with a file, as a sentence that tells what to write |
+//! | [`process`] | settings of the entry, the controller, the gateway and the operator command |
+//! | [`intent`] | intent files |
+//! | [`field`] | names, accepted values and defaults of settings, also for the settings page |
+//! | [`error`] | errors that name the line, the field and the accepted values |
 //!
 //! ```
 //! use celeryhaven_settings::OperatorSettings;
--- a/crates/settings/src/process/controller.rs
+++ b/crates/settings/src/process/controller.rs
@@ -11,7 +11,7 @@
 
 settings! {
     /// Settings of a controller process.
-    pub struct ControllerSettings checked by spans_fit {
+    pub struct ControllerSettings checked by check_timeouts {
         /// Name of this entry VM, unique in the fleet and the same as in its certificate.
         node: NodeName = Kind::Name;
         /// Data centre of this entry VM.
@@ -53,12 +53,13 @@
     }
 }
 
-/// Spans that must not cross, or a live holder would lose its lease between two renewals.
-fn spans_fit(settings: &ControllerSettings, document: &Document) -> Result<(), SettingsError> {
-    let least_ms = settings.lease_renew_ms * 2 + settings.store_timeout_ms;
-    if settings.lease_ttl_ms < least_ms {
+/// Checks that timeouts are consistent; otherwise a live holder could lose its lease between two
+/// renewals, or a healthy member could count as silent between two polls.
+fn check_timeouts(settings: &ControllerSettings, document: &Document) -> Result<(), SettingsError> {
+    let min_ttl_ms = settings.lease_renew_ms * 2 + settings.store_timeout_ms;
+    if settings.lease_ttl_ms < min_ttl_ms {
         let accepted = format!(
-            "at least twice lease_renew_ms and store_timeout_ms together, which are {least_ms}"
+            "at least twice lease_renew_ms and store_timeout_ms together, which are {min_ttl_ms}"
         );
         return Err(document.value_error("lease_ttl_ms", accepted));
     }
--- a/crates/settings/src/process/entry.rs
+++ b/crates/settings/src/process/entry.rs
@@ -11,7 +11,7 @@
 
 settings! {
     /// Settings of an entry process.
-    pub struct EntrySettings checked by spans_fit {
+    pub struct EntrySettings checked by check_timeouts {
         /// Name of this entry VM, unique in the fleet and the same as in its certificate.
         node: NodeName = Kind::Name;
         /// Data centre of this entry VM.
@@ -75,8 +75,9 @@
     }
 }
 
-/// Spans that must not cross, or a healthy replica or node would drop out.
-fn spans_fit(settings: &EntrySettings, document: &Document) -> Result<(), SettingsError> {
+/// Checks that reports do not expire between two polls; otherwise healthy replicas would receive
+/// no requests.
+fn check_timeouts(settings: &EntrySettings, document: &Document) -> Result<(), SettingsError> {
     let poll_ms = settings.poll_interval_ms + settings.poll_timeout_ms;
     if settings.report_life_ms <= poll_ms {
         let accepted =
--- a/crates/settings/src/process/gateway.rs
+++ b/crates/settings/src/process/gateway.rs
@@ -11,7 +11,7 @@
 
 settings! {
     /// Settings of a gateway process.
-    pub struct GatewaySettings checked by stop_is_long_enough {
+    pub struct GatewaySettings checked by check_stop_timeout {
         /// Name of this entry VM, unique in the fleet.
         node: NodeName = Kind::Name;
         /// Data centre of this entry VM.
@@ -48,14 +48,14 @@
 }
 
 impl GatewaySettings {
-    /// Time from the signal to stop until the process is ended by force.
+    /// Returns the time from the stop signal until the process is killed.
     pub fn stop_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.stop_s)
     }
 }
 
-/// Address answers that callers still hold must have run out before the process ends.
-fn stop_is_long_enough(
+/// Checks that address answers cached by callers expire before the process is killed.
+fn check_stop_timeout(
     settings: &GatewaySettings,
     document: &Document,
 ) -> Result<(), SettingsError> {
--- a/crates/settings/src/process/log_level.rs
+++ b/crates/settings/src/process/log_level.rs
@@ -1,16 +1,16 @@
 use crate::field::{FromNode, Kind};
 use crate::yaml::Node;
 
-/// How much a process logs.
+/// Minimum severity that a process logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Only what needs an operator.
+    /// Errors that require an operator.
     Error,
-    /// Also what the process could mend by itself.
+    /// Also problems from which the process recovers.
     Warning,
-    /// Also one line for each request and change.
+    /// Also one line for each request and each change.
     Info,
-    /// Also what helps to find faults.
+    /// Also diagnostic details.
     Debug,
 }
 
--- a/crates/settings/src/process/mod.rs
+++ b/crates/settings/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes.
+//! Settings of each process.
 
 mod controller;
 mod entry;
--- a/crates/settings/src/process/operator.rs
+++ b/crates/settings/src/process/operator.rs
@@ -7,8 +7,8 @@
 use crate::yaml::Document;
 
 settings! {
-    /// Settings of the operators' command.
-    pub struct OperatorSettings checked by has_controller {
+    /// Settings of the operator command.
+    pub struct OperatorSettings checked by check_controllers {
         /// Operator addresses of controllers, tried in this order.
         controllers: Vec<SocketAddr> = Kind::Addresses;
         /// The operator's certificate, in PEM.
@@ -22,7 +22,10 @@
     }
 }
 
-fn has_controller(settings: &OperatorSettings, document: &Document) -> Result<(), SettingsError> {
+fn check_controllers(
+    settings: &OperatorSettings,
+    document: &Document,
+) -> Result<(), SettingsError> {
     match settings.controllers.is_empty() {
         true => Err(document.value_error("controllers", "at least one IP address and port")),
         false => Ok(()),
--- a/crates/settings/src/process/settings_macro.rs
+++ b/crates/settings/src/process/settings_macro.rs
@@ -1,6 +1,6 @@
-/// Defines settings of a process: the struct, its list of fields and how it is read.
+/// Defines the settings of a process: the struct, its list of fields and its parser.
 ///
-/// Each field's one-line doc comment is also what the settings page says of it.
+/// The one-line doc comment of a field is also its meaning on the settings page.
 macro_rules! settings {
     (
         $(#[$meta:meta])*
@@ -15,7 +15,7 @@
         }
 
         impl $name {
-            /// Every field, in the order of the settings page.
+            /// All fields, in the order of the settings page.
             pub const FIELDS: &'static [$crate::field::Field] = &[$(
                 $crate::field::Field {
                     name: stringify!($field),
@@ -24,12 +24,12 @@
                 },
             )*];
 
-            /// Reads and checks a settings file.
+            /// Reads and validates a settings file.
             pub fn load(file: &str) -> Result<Self, $crate::error::SettingsError> {
                 Self::from_document(&$crate::yaml::Document::load(file)?)
             }
 
-            /// Checks the text of a settings file; `file` is named in errors.
+            /// Parses and validates the text of a settings file; `file` is used in errors.
             pub fn from_yaml(file: &str, text: &str) -> Result<Self, $crate::error::SettingsError> {
                 Self::from_document(&$crate::yaml::Document::parse(file, text)?)
             }
@@ -37,9 +37,9 @@
             fn from_document(
                 document: &$crate::yaml::Document,
             ) -> Result<Self, $crate::error::SettingsError> {
-                $crate::field::refuse_unknown(document, Self::FIELDS)?;
+                $crate::field::reject_unknown_fields(document, Self::FIELDS)?;
                 let mut fields = Self::FIELDS.iter();
-                let mut next = || fields.next().ok_or_else(|| unreachable_field(document));
+                let mut next = || fields.next().ok_or_else(|| missing_field_error(document));
                 let settings = Self {
                     $($field: $crate::field::read_field(document, next()?)?,)*
                 };
@@ -48,7 +48,7 @@
             }
         }
 
-        fn unreachable_field(document: &$crate::yaml::Document) -> $crate::error::SettingsError {
+        fn missing_field_error(document: &$crate::yaml::Document) -> $crate::error::SettingsError {
             document.value_error("", "the fields of the settings page")
         }
     };
--- a/crates/settings/src/yaml/document.rs
+++ b/crates/settings/src/yaml/document.rs
@@ -3,7 +3,7 @@
 use crate::error::{ReadSnafu, SettingsError};
 use crate::yaml::{Located, Node};
 
-/// A parsed file.
+/// A parsed YAML file.
 pub(crate) struct Document {
     pub(crate) file: String,
     pub(crate) text: String,
@@ -23,7 +23,7 @@
         Ok(Self { file: file.into(), text: text.into(), root })
     }
 
-    /// The fields at the top of the file.
+    /// Returns the top-level fields.
     pub(crate) fn fields(&self) -> Result<&[(Located, Located)], SettingsError> {
         match &self.root.node {
             Node::Mapping(entries) => Ok(entries),
@@ -40,72 +40,75 @@
         }
     }
 
-    /// The node at a path such as `organisations[2].worth`, or the nearest one above it.
-    pub(crate) fn nearest(&self, path: &str) -> &Located {
-        path.split(['.', '[']).fold(&self.root, |at, step| {
+    /// Returns the node at a path such as `organisations[2].worth`, or its nearest existing ancestor.
+    pub(crate) fn nearest_node(&self, path: &str) -> &Located {
+        path.split(['.', '[']).fold(&self.root, |current, step| {
             let step = step.trim_end_matches(']');
-            match &at.node {
+            match &current.node {
                 Node::Mapping(entries) => entries
                     .iter()
                     .find(|(key, _)| key.node.as_text() == Some(step))
-                    .map_or(at, |(_, value)| value),
+                    .map_or(current, |(_, value)| value),
                 Node::List(items) => {
-                    step.parse().ok().and_then(|i: usize| items.get(i)).unwrap_or(at)
+                    step.parse().ok().and_then(|i: usize| items.get(i)).unwrap_or(current)
                 }
-                _ => at,
+                _ => current,
             }
         })
     }
 
-    /// An error of reading the file into a type, with the field that the reader stood at.
-    pub(crate) fn shape_error(&self, error: &serde_saphyr::Error) -> SettingsError {
-        let line = error.location().map_or(0, |at| at.line());
-        match path_at(&self.root.node, line) {
+    /// Returns the error of deserializing the document, with the field at which it occurred.
+    pub(crate) fn deserialize_error(&self, error: &serde_saphyr::Error) -> SettingsError {
+        let line = error.location().map_or(0, |location| location.line());
+        match path_at_line(&self.root.node, line) {
             Some(path) if !path.is_empty() => {
-                let at = self.nearest(&path);
+                let nearest = self.nearest_node(&path);
                 SettingsError::Value {
                     file: self.file.clone(),
                     line,
                     field: path,
-                    found: at.node.describe(),
-                    accepted: format!("what the reader expects: {}", reason(error)),
+                    found: nearest.node.describe(),
+                    accepted: format!(
+                        "what the reader expects: {}",
+                        message_without_position(error)
+                    ),
                 }
             }
             _ => syntax_error(&self.file, error),
         }
     }
 
-    /// An error about the value at a path.
+    /// Returns an error about the value at a path.
     pub(crate) fn value_error(&self, path: &str, accepted: impl Into<String>) -> SettingsError {
-        let at = self.nearest(path);
+        let nearest = self.nearest_node(path);
         SettingsError::Value {
             file: self.file.clone(),
-            line: at.line,
+            line: nearest.line,
             field: path.into(),
-            found: at.node.describe(),
+            found: nearest.node.describe(),
             accepted: accepted.into(),
         }
     }
 }
 
-/// Turns an error of the YAML reader into ours.
+/// Converts an error of the YAML parser.
 pub(crate) fn syntax_error(file: &str, error: &serde_saphyr::Error) -> SettingsError {
-    let at = error.location();
+    let location = error.location();
     SettingsError::Syntax {
         file: file.into(),
-        line: at.map_or(0, |at| at.line()),
-        column: at.map_or(0, |at| at.column()),
+        line: location.map_or(0, |location| location.line()),
+        column: location.map_or(0, |location| location.column()),
         message: error.without_snippet().to_string(),
     }
 }
 
-/// The path of the last field that begins on a line, or before it.
-fn path_at(node: &Node, line: u64) -> Option<String> {
+/// Returns the path of the last field that starts at or before a line.
+fn path_at_line(node: &Node, line: u64) -> Option<String> {
     match node {
         Node::Mapping(entries) => {
             let (key, value) = entries.iter().rev().find(|(key, _)| key.line <= line)?;
             let key = key.node.as_text()?;
-            Some(match path_at(&value.node, line) {
+            Some(match path_at_line(&value.node, line) {
                 Some(rest) if rest.starts_with('[') => format!("{key}{rest}"),
                 Some(rest) => format!("{key}.{rest}"),
                 None => key.into(),
@@ -113,7 +116,7 @@
         }
         Node::List(items) => {
             let (i, item) = items.iter().enumerate().rev().find(|(_, item)| item.line <= line)?;
-            Some(match path_at(&item.node, line) {
+            Some(match path_at_line(&item.node, line) {
                 Some(rest) => format!("[{i}].{rest}"),
                 None => format!("[{i}]"),
             })
@@ -122,8 +125,8 @@
     }
 }
 
-/// The reader's message without its position, which our error names already.
-fn reason(error: &serde_saphyr::Error) -> String {
+/// Returns the parser's message without its position, which the error already contains.
+fn message_without_position(error: &serde_saphyr::Error) -> String {
     let text = error.without_snippet().to_string();
     text.split(" at line ").next().unwrap_or(&text).into()
 }
--- a/crates/settings/src/yaml/mod.rs
+++ b/crates/settings/src/yaml/mod.rs
@@ -1,4 +1,4 @@
-//! YAML as a tree whose nodes know their lines.
+//! YAML as a tree of nodes with line numbers.
 
 mod document;
 mod node;
--- a/crates/settings/src/yaml/node.rs
+++ b/crates/settings/src/yaml/node.rs
@@ -6,17 +6,17 @@
 /// A node of a YAML tree.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Node {
-    /// Nothing stands there.
+    /// An empty value.
     Empty,
-    /// Text, a number or a truth value, as text.
+    /// A string, number or boolean, as text.
     Scalar(String),
     /// A sequence.
     List(Vec<Located>),
-    /// A mapping in the order of the file.
+    /// A mapping, in file order.
     Mapping(Vec<(Located, Located)>),
 }
 
-/// A node and its line, from 1.
+/// A node and its line, starting at 1.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Located {
     pub(crate) line: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Node {
-    /// The node in few words, for an error.
+    /// Returns a short description of the node for error messages.
     pub(crate) fn describe(&self) -> String {
         match self {
             Self::Empty => "empty".into(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The text of a scalar.
+    /// Returns the text of a scalar.
     pub(crate) fn as_text(&self) -> Option<&str> {
         match self {
             Self::Scalar(text) => Some(text),
--- a/crates/settings/tests/intent.rs
+++ b/crates/settings/tests/intent.rs
@@ -1,4 +1,4 @@
-//! Intent files: shape, meaning, and where an error points.
+//! Intent files: parsing, validation and the positions of errors.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -37,20 +37,20 @@
   stranded_accelerator_weight: 1
 ";
 
-fn error_with(from: &str, to: &str) -> String {
+fn error_after_replace(from: &str, to: &str) -> String {
     assert!(INTENT.contains(from));
     parse_intent("intent.yaml", &INTENT.replacen(from, to, 1)).unwrap_err().to_string()
 }
 
 #[test]
-fn parse_whole() {
+fn parse_valid() {
     let intent = parse_intent("intent.yaml", INTENT).unwrap();
     assert_eq!(intent.organisations.len(), 2);
     assert_eq!(intent.deployments[0].organisations.len(), 1);
 }
 
 #[test]
-fn parse_meaning() {
+fn parse_invalid_value() {
     let cases = [
         ("worth: 5", "worth: 0", "intent.yaml:3: `organisations[0].worth` is `0`; write a whole"),
         ("blenders", "coop", "intent.yaml:6: `organisations[1].name` is `coop`; write a name that"),
@@ -61,24 +61,27 @@
         ("weight: 2", "weight: -2", "intent.yaml:30: `objective.group_downtime_weight` is `-2`"),
     ];
     cases.into_iter().for_each(|(from, to, expected)| {
-        let error = error_with(from, to);
+        let error = error_after_replace(from, to);
         assert!(error.starts_with(expected), "{error}");
     });
 }
 
-/// One key hash in two organisations would let one of them act in the other's name.
+/// Two organisations with the same API key could act as each other.
 #[test]
 fn parse_shared_key() {
-    let error = error_with(&"b".repeat(64), &"a".repeat(64));
+    let error = error_after_replace(&"b".repeat(64), &"a".repeat(64));
     assert!(error.starts_with("intent.yaml:9: `organisations[1].api_key_sha256[0]`"), "{error}");
 }
 
 #[test]
-fn parse_shape() {
-    let unknown = error_with("replicas: 2", "replica_count: 2");
+fn parse_invalid_structure() {
+    let unknown = error_after_replace("replicas: 2", "replica_count: 2");
     assert!(unknown.starts_with("intent.yaml:15: `deployments[0].replica_count`"), "{unknown}");
-    let wrong = error_with("replicas: 2", "replicas: many");
-    assert!(wrong.starts_with("intent.yaml:15: `deployments[0].replicas` is `many`"), "{wrong}");
-    let fencing = error_with("fencing: checked", "fencing: sometimes");
+    let wrong_type = error_after_replace("replicas: 2", "replicas: many");
+    assert!(
+        wrong_type.starts_with("intent.yaml:15: `deployments[0].replicas` is `many`"),
+        "{wrong_type}"
+    );
+    let fencing = error_after_replace("fencing: checked", "fencing: sometimes");
     assert!(fencing.starts_with("intent.yaml:20: `deployments[0].fencing`"), "{fencing}");
 }
--- a/crates/settings/tests/page.rs
+++ b/crates/settings/tests/page.rs
@@ -1,8 +1,8 @@
-//! The settings page says what the code does.
+//! The settings page matches the settings in the code.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
-use celeryhaven_settings::field::table;
+use celeryhaven_settings::field::markdown_table;
 use celeryhaven_settings::{ControllerSettings, EntrySettings, GatewaySettings, OperatorSettings};
 
 fn page() -> String {
@@ -19,16 +19,19 @@
         GatewaySettings::FIELDS,
         OperatorSettings::FIELDS,
     ]
-    .map(table);
+    .map(markdown_table);
     for expected in &tables {
-        assert!(page.contains(expected), "run `cargo run --example settings_tables` anew");
+        assert!(
+            page.contains(expected),
+            "page is out of date; run `cargo run --example settings_tables`"
+        );
     }
     let rows = page.lines().filter(|line| line.starts_with("| `")).count();
     let expected: usize = tables.iter().map(|table| table.lines().count() - 2).sum();
-    assert_eq!(rows, expected, "the page has settings that the code has not");
+    assert_eq!(rows, expected, "the page has settings that the code lacks");
 }
 
-/// The example of each program on the page is accepted as it stands.
+/// An example on the page that its program rejects would not start when copied.
 #[test]
 fn page_examples() {
     let page = page();
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes: what is accepted and what an error tells.
+//! Settings of the processes: accepted values and error messages.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn entry_bad_values() {
+fn entry_invalid_values() {
     let cases = [
         ("node: entry-1", "node: Entry_1", "entry.yaml:1: `node` is `Entry_1`; write 1 to 63"),
         ("127.0.0.1:7000", "localhost", "entry.yaml:3: `http_listen` is `localhost`; write an IP"),
@@ -82,9 +82,9 @@
     });
 }
 
-/// A report life under one poll drops every healthy replica between two polls: refused at start.
+/// If reports expire between two polls, healthy replicas receive no requests.
 #[test]
-fn entry_report_life_under_poll() {
+fn entry_report_life_too_short() {
     let error = entry_error(&format!("{ENTRY}report_life_ms: 800\n"));
     assert!(
         error.starts_with("entry.yaml:12: `report_life_ms` is `800`; write more than"),
@@ -107,7 +107,7 @@
     assert!(error.starts_with("no-such-file.yaml: cannot be read"), "{error}");
 }
 
-/// A lease that ends before two renewals could be answered is lost by a healthy holder.
+/// If the lease TTL does not cover two renewals, a healthy holder loses its lease.
 #[test]
 fn controller_lease_too_short() {
     let text = "node: entry-1
@@ -128,12 +128,9 @@
     );
 }
 
-/// An installation whose limits have fractions.
-///
-/// No gateway of it started: the template filled in a limit of 53.8 repeated sends, settings took
-/// whole numbers only, and every process ended before it listened.
+/// If fractional limits are rejected, a gateway configured with them does not start.
 #[test]
-fn gateway_limits_with_fractions() {
+fn gateway_fractional_limits() {
     let text =
         format!("{GATEWAY}stop_s: 7.5\nretry_ratio: 0.125\nretry_extra: 53.80952380952381\n");
     let settings = GatewaySettings::from_yaml("gateway.yaml", &text).unwrap();
@@ -142,14 +139,14 @@
 }
 
 #[test]
-fn gateway_whole_limits() {
+fn gateway_integer_limits() {
     let text = format!("{GATEWAY}stop_s: 8\nretry_ratio: 1\nretry_extra: 107\n");
     let settings = GatewaySettings::from_yaml("gateway.yaml", &text).unwrap();
     assert_eq!((settings.stop_s, settings.retry_ratio, settings.retry_extra), (8.0, 1.0, 107.0));
 }
 
 #[test]
-fn gateway_bad_decimals() {
+fn gateway_invalid_decimals() {
     let cases = [
         ("retry_ratio: 1.5", "write a number from 0 to 1"),
         ("retry_extra: NaN", "write a number from 0 to 1000000"),
