--- a/crates/gateway/src/control/control_loop.rs
+++ b/crates/gateway/src/control/control_loop.rs
@@ -30,7 +30,7 @@
 use crate::control::relay::{Relay, answer_peer};
 use crate::control::suspicions::{Suspicion, Suspicions};
 use crate::control::targets::TargetCalls;
-use crate::traffic::{OfferedWork, Routable, TrafficReport, TrafficUpdate};
+use crate::traffic::{Destination, OfferedLoad, TrafficReport, TrafficUpdate};
 
 /// Time between two looks at deciders.
 const TICK: Duration = Duration::from_millis(100);
@@ -69,7 +69,7 @@
     pub(super) fleet: FleetView,
     pub(super) listed: bool,
     /// Everything that requests may be sent to.
-    pub(super) routables: Arc<[Routable]>,
+    pub(super) routables: Arc<[Destination]>,
     /// What traffic was told last.
     pub(super) published: Option<TrafficUpdate>,
     pub(super) peers: Peers,
@@ -242,7 +242,7 @@
     }
 
     /// Takes over work that callers have offered to this node.
-    fn offered(&mut self, now: TimeMs, work: &[OfferedWork]) {
+    fn offered(&mut self, now: TimeMs, work: &[OfferedLoad]) {
         work.iter().for_each(|offered| self.demand.add(now, &offered.model, offered.slot_ms));
     }
 
@@ -274,7 +274,7 @@
             TrafficReport::Suspected(replica) => {
                 self.suspect(now, Suspicion::StandsStill(replica));
             }
-            TrafficReport::Accused(target) => self.suspect(now, Suspicion::Accused(target)),
+            TrafficReport::LossReported(target) => self.suspect(now, Suspicion::Accused(target)),
             TrafficReport::Offered(work) => self.offered(now, &work),
         }
     }
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -6,11 +6,11 @@
 
 use crate::adapter::Adapter;
 use crate::control::Control;
-use crate::traffic::{Routable, RoutableName, TrafficUpdate};
+use crate::traffic::{Destination, DestinationName, TrafficUpdate};
 
 impl<A: Adapter> Control<A> {
     /// Everything that requests may be sent to, by the list and the configuration as they stand.
-    pub(super) fn find_routables(&self) -> Arc<[Routable]> {
+    pub(super) fn find_routables(&self) -> Arc<[Destination]> {
         let found = match &self.routes {
             Some(routes) => routables(routes.config(), &self.fleet),
             None => Vec::new(),
@@ -27,9 +27,9 @@
     pub(super) fn publish(&mut self) {
         let update = TrafficUpdate {
             routes: self.routes.clone(),
-            routables: self.routables.clone(),
+            destinations: self.routables.clone(),
             addresses: self.addresses(),
-            sharers: self.peers.live() as u32 + 1,
+            senders: self.peers.live() as u32 + 1,
             ready: self.is_ready(),
             cut_off_until: self.cut_off_until,
         };
@@ -53,14 +53,14 @@
 }
 
 /// Whole replicas, and ready targets of plain services.
-fn routables(config: &Configuration, fleet: &FleetView) -> Vec<Routable> {
+fn routables(config: &Configuration, fleet: &FleetView) -> Vec<Destination> {
     let replicas = fleet.replicas().values();
     let whole = replicas.filter_map(|replica| replica_routable(config, fleet, replica));
     let plain = config.services.iter().filter(|service| service.engine.is_none());
     let plain = plain.flat_map(|service| {
         let targets = fleet.targets().filter(move |entry| entry.service == service.name);
-        targets.filter(|entry| entry.phase == TargetPhase::Ready).map(|entry| Routable {
-            name: RoutableName::Plain(entry.name.clone()),
+        targets.filter(|entry| entry.phase == TargetPhase::Ready).map(|entry| Destination {
+            name: DestinationName::Plain(entry.name.clone()),
             service: service.name.clone(),
             model: None,
             target: entry.name.clone(),
@@ -75,15 +75,15 @@
     config: &Configuration,
     fleet: &FleetView,
     replica: &Replica,
-) -> Option<Routable> {
+) -> Option<Destination> {
     let engine = config.service(&replica.service)?.engine.as_ref()?;
     let model = engine.model(replica.model.as_ref()?)?;
     if !replica.is_whole(model.size) {
         return None;
     }
     let head = fleet.target(replica.head()?)?;
-    Some(Routable {
-        name: RoutableName::Replica(replica.key.clone()),
+    Some(Destination {
+        name: DestinationName::Replica(replica.key.clone()),
         service: replica.service.clone(),
         model: replica.model.clone(),
         target: head.name.clone(),
--- a/crates/gateway/src/control/relay/peer_server.rs
+++ b/crates/gateway/src/control/relay/peer_server.rs
@@ -44,7 +44,7 @@
 }
 
 pub(super) fn plain(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(""));
+    let mut response = Response::new(AnswerBody::full(""));
     *response.status_mut() = status;
     response
 }
--- a/crates/gateway/src/control/relay/relay_state.rs
+++ b/crates/gateway/src/control/relay/relay_state.rs
@@ -102,7 +102,7 @@
         let answer = answer.await;
         let demand = self.demand.borrow_mut().fleet(BootClock.now());
         match encode(&RelayReply { answer, demand }) {
-            Some(bytes) => Response::new(AnswerBody::whole(bytes)),
+            Some(bytes) => Response::new(AnswerBody::full(bytes)),
             None => plain(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
--- a/crates/gateway/src/control/targets.rs
+++ b/crates/gateway/src/control/targets.rs
@@ -14,7 +14,7 @@
 use smol::Timer;
 
 use crate::adapter::Adapter;
-use crate::http::CUT_OFF;
+use crate::http::CUT_OFF_HEADER;
 
 /// How long an order may take to be answered.
 ///
@@ -77,7 +77,7 @@
         *request.uri_mut() = http::Uri::from_static(self.adapter.paths().ready);
         match self.exchange(address, request, PROBE_TIMEOUT).await {
             Some(Ok(answer)) if answer.status != StatusCode::OK => NodeProbe::NotReady,
-            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF) => NodeProbe::CutOff,
+            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF_HEADER) => NodeProbe::CutOff,
             Some(Ok(_)) => NodeProbe::Ready,
             Some(Err(_)) | None => NodeProbe::Silent,
         }
--- a/crates/gateway/src/http/callers.rs
+++ b/crates/gateway/src/http/callers.rs
@@ -13,7 +13,7 @@
 
 use crate::adapter::{Adapter, CallerHead};
 use crate::http::{refusal_parts, strip_hop_by_hop};
-use crate::traffic::{AnswerBody, AnswerParts, Ask, Exchange, Gate, sink};
+use crate::traffic::{AnswerBody, AnswerParts, CallerRequest, Dispatcher, Exchange, sink};
 
 /// When to ask again at a node that takes no requests, in milliseconds.
 ///
@@ -39,7 +39,7 @@
 
 /// Answers one request of a caller.
 pub(crate) async fn answer_caller<A: Adapter>(
-    gate: Rc<Gate<A>>,
+    gate: Rc<Dispatcher<A>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let mut response = match read_ask(&gate, request).await {
@@ -47,7 +47,7 @@
         Err(Rejected::Refusal(status, refusal)) => {
             info!(gate.log, "request rejected"; "status" => status.as_u16(),
                 "code" => format!("{:?}", refusal.code));
-            response_of(refusal_parts(status, &refusal, None), AnswerBody::whole(Bytes::new()))
+            response_of(refusal_parts(status, &refusal, None), AnswerBody::full(Bytes::new()))
         }
     };
     if gate.state.borrow().leaving_since.is_some() {
@@ -57,14 +57,14 @@
     response
 }
 
-async fn serve<A: Adapter>(gate: Rc<Gate<A>>, ask: Ask) -> Response<AnswerBody> {
+async fn serve<A: Adapter>(gate: Rc<Dispatcher<A>>, ask: CallerRequest) -> Response<AnswerBody> {
     let (sink, parts, pieces) = sink();
     let exchange = Exchange::new(gate.clone(), ask, sink);
     let task = gate.executor.spawn(exchange.run());
     match parts.recv().await {
         Ok(parts) if parts.whole.is_some() => {
             task.detach();
-            response_of(parts, AnswerBody::whole(Bytes::new()))
+            response_of(parts, AnswerBody::full(Bytes::new()))
         }
         Ok(parts) => response_of(parts, AnswerBody::pieces(pieces, task)),
         // The exchange always begins an answer before it ends.
@@ -74,14 +74,14 @@
                 &Refusal::may_have_run(RefusalCode::AnswerLost),
                 None,
             ),
-            AnswerBody::whole(Bytes::new()),
+            AnswerBody::full(Bytes::new()),
         ),
     }
 }
 
 fn response_of(parts: AnswerParts, body: AnswerBody) -> Response<AnswerBody> {
     let body = match parts.whole {
-        Some(bytes) => AnswerBody::whole(bytes),
+        Some(bytes) => AnswerBody::full(bytes),
         None => body,
     };
     let mut response = Response::new(body);
@@ -91,9 +91,9 @@
 }
 
 async fn read_ask<A: Adapter>(
-    gate: &Rc<Gate<A>>,
+    gate: &Rc<Dispatcher<A>>,
     request: Request<Incoming>,
-) -> Result<Ask, Rejected> {
+) -> Result<CallerRequest, Rejected> {
     let arrived_at = gate.now();
     let (parts, body) = request.into_parts();
     let caller = gate.adapter.caller_head(&parts.headers);
@@ -120,7 +120,7 @@
     strip_hop_by_hop(&mut headers);
     headers.remove(AUTHORIZATION);
     headers.remove(CONTENT_LENGTH);
-    Ok(Ask {
+    Ok(CallerRequest {
         service,
         model: caller.model.clone().filter(|_| has_engines),
         organisation,
@@ -156,7 +156,10 @@
     }
 }
 
-async fn read_body<A: Adapter>(gate: &Rc<Gate<A>>, body: Incoming) -> Result<Bytes, Rejected> {
+async fn read_body<A: Adapter>(
+    gate: &Rc<Dispatcher<A>>,
+    body: Incoming,
+) -> Result<Bytes, Rejected> {
     let limit = gate.state.borrow().routes.as_ref().map(|r| r.config().limits.body_bytes_max);
     let read = async { Some(Limited::new(body, limit.unwrap_or(usize::MAX)).collect().await) };
     let late = async {
--- a/crates/gateway/src/http/small.rs
+++ b/crates/gateway/src/http/endpoints.rs
@@ -5,17 +5,17 @@
 use hyper::body::Incoming;
 
 use crate::adapter::{Adapter, AddressAnswer};
-use crate::traffic::{AnswerBody, Gate};
+use crate::traffic::{AnswerBody, Dispatcher};
 
 /// Addresses that one answer names at most.
 const ADDRESSES_MAX: usize = 64;
 
 /// Header by which a node tells others that the store does not serve it.
-pub(crate) const CUT_OFF: HeaderName = HeaderName::from_static("celeryhaven-cut-off");
+pub(crate) const CUT_OFF_HEADER: HeaderName = HeaderName::from_static("celeryhaven-cut-off");
 
 /// Tells the platform and other nodes whether this node takes requests.
 pub(crate) async fn answer_ready<A: Adapter>(
-    gate: Rc<Gate<A>>,
+    gate: Rc<Dispatcher<A>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let known = request.uri().path() == gate.adapter.paths().ready;
@@ -27,14 +27,14 @@
     };
     let mut response = plain(status, "");
     if state.cut_off_until.is_some_and(|until| until > gate.now()) {
-        response.headers_mut().insert(CUT_OFF, HeaderValue::from_static("1"));
+        response.headers_mut().insert(CUT_OFF_HEADER, HeaderValue::from_static("1"));
     }
     response
 }
 
 /// Tells a caller which addresses to use.
 pub(crate) async fn answer_lookup<A: Adapter>(
-    gate: Rc<Gate<A>>,
+    gate: Rc<Dispatcher<A>>,
     ttl_ms: u64,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
@@ -54,7 +54,7 @@
 
 /// Serves the metrics as text.
 pub(crate) async fn answer_metrics<A: Adapter>(
-    gate: Rc<Gate<A>>,
+    gate: Rc<Dispatcher<A>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     match request.uri().path() {
@@ -64,7 +64,7 @@
 }
 
 pub(crate) fn plain(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+    let mut response = Response::new(AnswerBody::full(body));
     *response.status_mut() = status;
     response
 }
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -19,7 +19,7 @@
 use crate::process::ProcessError;
 use crate::process::error::{ListenSnafu, RandomSnafu, ThreadSnafu};
 use crate::process::signals::Signals;
-use crate::traffic::{Gate, GateState, TrafficReport, TrafficUpdate};
+use crate::traffic::{DispatchState, Dispatcher, TrafficReport, TrafficUpdate};
 
 /// What callers may take until the configuration says it.
 const FIRST_LIMITS: ServerLimits =
@@ -135,14 +135,15 @@
     let (news, heard) = unbounded();
     let earned = settings.retry_ratio * RETRY_PART;
     let extra = settings.retry_extra * RETRY_PART / RETRY_POOLS;
-    let state = GateState::new(seed, earned, extra);
+    let state = DispatchState::new(seed, earned, extra);
     let channels = ChannelPool::new(executor.clone(), TARGET_CHANNELS);
-    let gate = Gate::new(adapter, executor.clone(), channels, state, metrics, log.clone(), news);
+    let gate =
+        Dispatcher::new(adapter, executor.clone(), channels, state, metrics, log.clone(), news);
     let stop = StopSignal::default();
     let limits = Rc::new(Cell::new(FIRST_LIMITS));
     let open = listen(&settings, &gate, &stop, &limits)?;
-    executor.spawn(gate.clone().follow(updates)).detach();
-    executor.spawn(gate.clone().tick()).detach();
+    executor.spawn(gate.clone().apply_updates(updates)).detach();
+    executor.spawn(gate.clone().run_timers()).detach();
     executor.spawn(pass_news(heard, events.clone())).detach();
     executor.spawn(keep_limits(gate.clone(), limits)).detach();
     signals.stopped(|| reload(settings_file, &settings, &log)).await;
@@ -166,7 +167,7 @@
 /// Opens the four listeners; the count of callers' connections.
 fn listen<A: Adapter>(
     settings: &GatewaySettings,
-    gate: &Rc<Gate<A>>,
+    gate: &Rc<Dispatcher<A>>,
     stop: &StopSignal,
     limits: &Rc<Cell<ServerLimits>>,
 ) -> Result<Rc<Cell<usize>>, ProcessError> {
@@ -205,7 +206,7 @@
 }
 
 /// Gives new connections the limits of the configuration in force.
-async fn keep_limits<A: Adapter>(gate: Rc<Gate<A>>, limits: Rc<Cell<ServerLimits>>) {
+async fn keep_limits<A: Adapter>(gate: Rc<Dispatcher<A>>, limits: Rc<Cell<ServerLimits>>) {
     loop {
         Timer::after(Duration::from_millis(500)).await;
         let state = gate.state.borrow();
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -10,7 +10,7 @@
 
 use crate::adapter::{Adapter, AnswerHead, Sending};
 use crate::traffic::exchange::{Exchange, Interrupt};
-use crate::traffic::{Routable, TrafficReport};
+use crate::traffic::{Destination, TrafficReport};
 
 /// Taken off the time that a target is given, for the way of its answer, in milliseconds.
 const WAY_MS: u64 = 5;
@@ -29,11 +29,11 @@
 /// One send of a request to one target.
 pub(crate) struct Attempt<'a, A: Adapter> {
     pub(crate) exchange: &'a mut Exchange<A>,
-    pub(crate) routable: &'a Routable,
+    pub(crate) routable: &'a Destination,
 }
 
 impl<'a, A: Adapter> Attempt<'a, A> {
-    pub(crate) fn new(exchange: &'a mut Exchange<A>, routable: &'a Routable) -> Self {
+    pub(crate) fn new(exchange: &'a mut Exchange<A>, routable: &'a Destination) -> Self {
         Self { exchange, routable }
     }
 
@@ -104,7 +104,7 @@
             Ok(Err(error)) => {
                 self.note_error(&error);
                 let gate = &self.exchange.gate;
-                gate.notify_control(TrafficReport::Accused(self.routable.target.clone()));
+                gate.notify_control(TrafficReport::LossReported(self.routable.target.clone()));
                 gate.suspected(&self.routable.name, "no connection");
                 Err(AttemptEnd::Broken(Verdict::NotRun))
             }
@@ -149,7 +149,7 @@
         self.note("refused by target", response.status().as_u16());
         if let Some(accused) = &head.accused {
             let gate = &self.exchange.gate;
-            gate.notify_control(TrafficReport::Accused(accused.clone()));
+            gate.notify_control(TrafficReport::LossReported(accused.clone()));
             gate.refuses(&self.routable.name);
         }
         AttemptEnd::Broken(Verdict::NotRun)
--- a/crates/gateway/src/traffic/body.rs
+++ b/crates/gateway/src/traffic/body.rs
@@ -33,7 +33,7 @@
 
 impl AnswerBody {
     /// A body that is known whole.
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
 
--- a/crates/gateway/src/traffic/ask.rs
+++ b/crates/gateway/src/traffic/caller_request.rs
@@ -16,7 +16,7 @@
 
 /// One caller's request, ready to be sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct CallerRequest {
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
     /// The model asked for; `None` at a plain service.
@@ -32,7 +32,7 @@
     pub(crate) deadline: TimeMs,
 }
 
-impl Ask {
+impl CallerRequest {
     /// What the request policy is told; `tokens_per_event` is its unit of output.
     pub(crate) fn head(&self, now: TimeMs, tokens_per_event: u32) -> RequestHead {
         let class = match &self.model {
--- a/crates/gateway/src/traffic/delivery.rs
+++ b/crates/gateway/src/traffic/delivery_times.rs
@@ -2,7 +2,7 @@
 
 /// When the pieces of one answer went to its caller.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Delivery {
+pub(crate) struct DeliveryTimes {
     /// When the request first went to a target.
     pub(crate) sent_at: Option<TimeMs>,
     /// When the first piece of the answer went to the caller.
@@ -12,7 +12,7 @@
     pub(crate) longest_pause_ms: u64,
 }
 
-impl Delivery {
+impl DeliveryTimes {
     /// The request goes to a target.
     pub(crate) fn sent(&mut self, now: TimeMs) {
         self.sent_at.get_or_insert(now);
--- a/crates/gateway/src/traffic/gate_state.rs
+++ b/crates/gateway/src/traffic/dispatch_state.rs
@@ -7,7 +7,7 @@
 use celeryhaven_types::{Map, ModelName, Refusal, RequestClass, ServiceName, TimeMs};
 
 use crate::traffic::pool::{Pool, RetryLimits};
-use crate::traffic::{Ask, OfferedWork, Routable, RoutableName};
+use crate::traffic::{CallerRequest, Destination, DestinationName, OfferedLoad};
 
 /// Names a pool: a service, and the model where it has engines.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Instruction {
     /// Send the request there.
-    Send(Routable),
+    Send(Destination),
     /// This is the final answer.
     Refuse(Refusal),
     /// Give the attempt up.
@@ -32,7 +32,7 @@
 pub(crate) struct Present {
     pub(crate) pool: PoolKey,
     pub(crate) instructions: Sender<Instruction>,
-    pub(crate) at: Option<RoutableName>,
+    pub(crate) at: Option<DestinationName>,
     /// Whether its stream gives events.
     pub(crate) streaming: bool,
     /// Whether it may be sent again after it may have run.
@@ -41,14 +41,14 @@
 
 /// Everything that decisions about requests read and change.
 #[derive(Debug)]
-pub(crate) struct GateState {
+pub(crate) struct DispatchState {
     pub(crate) routes: Option<Arc<RouteTable>>,
-    pub(crate) routables: Arc<[Routable]>,
+    pub(crate) routables: Arc<[Destination]>,
     pub(crate) addresses: Vec<SocketAddr>,
     pub(crate) ready: bool,
     pub(crate) cut_off_until: Option<TimeMs>,
     pub(crate) leaving_since: Option<TimeMs>,
-    pub(crate) progress: StandstillWatch<RoutableName>,
+    pub(crate) progress: StandstillWatch<DestinationName>,
     pub(crate) present: Map<Ticket, Present>,
     pools: Map<PoolKey, Pool>,
     sharers: u32,
@@ -58,7 +58,7 @@
     retry_extra: f64,
 }
 
-impl GateState {
+impl DispatchState {
     /// Knows nothing yet; repeated sends are limited for all nodes together.
     pub(crate) fn new(seed: u64, retry_earned: f64, retry_extra: f64) -> Self {
         Self {
@@ -83,7 +83,7 @@
     pub(crate) fn enter(
         &mut self,
         now: TimeMs,
-        ask: &Ask,
+        ask: &CallerRequest,
         instructions: Sender<Instruction>,
     ) -> Ticket {
         let ticket = self.next_ticket;
@@ -130,7 +130,7 @@
     }
 
     /// Takes over what requests may be sent to.
-    pub(crate) fn set_routables(&mut self, now: TimeMs, routables: Arc<[Routable]>) {
+    pub(crate) fn set_routables(&mut self, now: TimeMs, routables: Arc<[Destination]>) {
         if !Arc::ptr_eq(&self.routables, &routables) {
             self.routables = routables;
             self.refresh(now);
@@ -154,7 +154,7 @@
     }
 
     /// Lets time pass: queues, timeouts of the policy, replicas that stand still.
-    pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<RoutableName> {
+    pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<DestinationName> {
         let still = self.progress.still(now);
         for name in &still {
             self.move_off(name);
@@ -174,7 +174,7 @@
     }
 
     /// Stops sending to a replica for a while, and moves what is there.
-    pub(crate) fn suspect(&mut self, now: TimeMs, name: &RoutableName) {
+    pub(crate) fn suspect(&mut self, now: TimeMs, name: &DestinationName) {
         if !self.progress.is_suspected(now, name) {
             self.progress.suspect(now, name);
             self.move_off(name);
@@ -183,17 +183,17 @@
     }
 
     /// Stops sending to a replica for a while; what it has goes on.
-    pub(crate) fn keep_away(&mut self, now: TimeMs, name: &RoutableName) {
+    pub(crate) fn keep_away(&mut self, now: TimeMs, name: &DestinationName) {
         self.progress.suspect(now, name);
         self.refresh(now);
     }
 
     /// Work that callers have offered for each model since the last time.
-    pub(crate) fn take_offered(&mut self) -> Vec<OfferedWork> {
+    pub(crate) fn take_offered(&mut self) -> Vec<OfferedLoad> {
         let pools = self.pools.iter_mut();
         let offered = pools.filter_map(|(key, pool)| {
             let model = key.model.clone()?;
-            Some(OfferedWork { model, slot_ms: pool.take_offered_ms() })
+            Some(OfferedLoad { model, slot_ms: pool.take_offered_ms() })
         });
         offered.filter(|offered| offered.slot_ms > 0.0).collect()
     }
@@ -207,7 +207,7 @@
     ///
     /// Load: a replica that lost a member while its head takes requests for seconds more. Harm:
     /// everything there waits until callers give up. Limit: only what may run twice is moved.
-    fn move_off(&self, name: &RoutableName) {
+    fn move_off(&self, name: &DestinationName) {
         let there = self.present.values().filter(|present| present.at.as_ref() == Some(name));
         for present in there.filter(|present| present.may_repeat) {
             // A full channel means that an instruction is on its way already.
@@ -227,7 +227,7 @@
         }
     }
 
-    fn routables_of(&self, now: TimeMs, key: &PoolKey) -> Vec<Routable> {
+    fn routables_of(&self, now: TimeMs, key: &PoolKey) -> Vec<Destination> {
         let of_pool = self
             .routables
             .iter()
--- a/crates/gateway/src/traffic/gate.rs
+++ b/crates/gateway/src/traffic/dispatcher.rs
@@ -12,8 +12,8 @@
 use smol::LocalExecutor;
 
 use crate::adapter::{Adapter, ReportedLoad};
-use crate::traffic::gate_state::{GateState, Instruction};
-use crate::traffic::{Ask, RoutableName, TrafficReport, TrafficUpdate};
+use crate::traffic::dispatch_state::{DispatchState, Instruction};
+use crate::traffic::{CallerRequest, DestinationName, TrafficReport, TrafficUpdate};
 
 /// Time between two looks at queues and at replicas that stand still.
 const TICK: Duration = Duration::from_millis(25);
@@ -22,11 +22,11 @@
 const TICKS_PER_OFFERED: u32 = 20;
 
 /// What every exchange of the process shares; it lives on the traffic thread.
-pub(crate) struct Gate<A> {
+pub(crate) struct Dispatcher<A> {
     pub(crate) adapter: A,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) channels: ChannelPool,
-    pub(crate) state: RefCell<GateState>,
+    pub(crate) state: RefCell<DispatchState>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) log: Logger,
     news: Sender<TrafficReport>,
@@ -34,13 +34,13 @@
     ticks: Cell<u32>,
 }
 
-impl<A: Adapter> Gate<A> {
+impl<A: Adapter> Dispatcher<A> {
     /// Knows nothing yet and takes no requests.
     pub(crate) fn new(
         adapter: A,
         executor: Rc<LocalExecutor<'static>>,
         channels: ChannelPool,
-        state: GateState,
+        state: DispatchState,
         metrics: GatewayMetrics,
         log: Logger,
         news: Sender<TrafficReport>,
@@ -55,7 +55,7 @@
     }
 
     /// Takes over what the control thread publishes, for ever.
-    pub(crate) async fn follow(self: Rc<Self>, updates: Receiver<TrafficUpdate>) {
+    pub(crate) async fn apply_updates(self: Rc<Self>, updates: Receiver<TrafficUpdate>) {
         while let Ok(mut update) = updates.recv().await {
             while let Ok(newer) = updates.try_recv() {
                 update = newer;
@@ -66,13 +66,13 @@
             state.addresses = update.addresses;
             state.ready = update.ready;
             state.cut_off_until = update.cut_off_until;
-            state.set_sharers(now, update.sharers);
-            state.set_routables(now, update.routables);
+            state.set_sharers(now, update.senders);
+            state.set_routables(now, update.destinations);
         }
     }
 
     /// Lets time pass, for ever.
-    pub(crate) async fn tick(self: Rc<Self>) {
+    pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
             smol::Timer::after(TICK).await;
             let still = self.state.borrow_mut().tick(self.now());
@@ -96,7 +96,7 @@
     }
 
     /// Lets a request in; the receiver says where it goes.
-    pub(crate) fn enter(&self, ask: &Ask) -> (Ticket, Receiver<Instruction>) {
+    pub(crate) fn enter(&self, ask: &CallerRequest) -> (Ticket, Receiver<Instruction>) {
         if !self.seen_first.replace(true) {
             self.notify_control(TrafficReport::FirstRequest);
         }
@@ -123,19 +123,19 @@
     }
 
     /// An event of a stream has come.
-    pub(crate) fn progressed(&self, name: &RoutableName) {
+    pub(crate) fn progressed(&self, name: &DestinationName) {
         let now = self.now();
         self.state.borrow_mut().progress.event(now, name);
     }
 
     /// A target has told its load.
-    pub(crate) fn reported(&self, ticket: Ticket, name: &RoutableName, load: ReportedLoad) {
+    pub(crate) fn reported(&self, ticket: Ticket, name: &DestinationName, load: ReportedLoad) {
         let now = self.now();
         self.state.borrow_mut().tell(ticket, |pool, out| pool.reported(now, name, load, out));
     }
 
     /// The caller has the whole answer.
-    pub(crate) fn finished(&self, ticket: Ticket, events: u32, ask: &Ask) {
+    pub(crate) fn finished(&self, ticket: Ticket, events: u32, ask: &CallerRequest) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         state.tell(ticket, |pool, out| {
@@ -176,9 +176,9 @@
     }
 
     /// Keeps requests away from what stands still, and tells the control thread.
-    pub(crate) fn suspected(&self, name: &RoutableName, why: &'static str) {
+    pub(crate) fn suspected(&self, name: &DestinationName, why: &'static str) {
         self.state.borrow_mut().suspect(self.now(), name);
-        let RoutableName::Replica(key) = name else { return };
+        let DestinationName::Replica(key) = name else { return };
         info!(self.log, "replica suspected";
             "replica" => key.replica.as_str(), "generation" => key.generation.get(), "why" => why);
         self.notify_control(TrafficReport::Suspected(key.clone()));
@@ -189,9 +189,9 @@
     /// Guards against streams broken for nothing: a head that finishes its work refuses in the same
     /// words as one that has lost a member, and what it has goes on to its end. A head that has lost
     /// one breaks its streams off itself.
-    pub(crate) fn refuses(&self, name: &RoutableName) {
+    pub(crate) fn refuses(&self, name: &DestinationName) {
         self.state.borrow_mut().keep_away(self.now(), name);
-        let RoutableName::Replica(key) = name else { return };
+        let DestinationName::Replica(key) = name else { return };
         info!(self.log, "replica refuses";
             "replica" => key.replica.as_str(), "generation" => key.generation.get());
     }
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -14,9 +14,9 @@
 use crate::adapter::Adapter;
 use crate::http::refusal_parts;
 use crate::traffic::attempt::{Attempt, AttemptEnd};
-use crate::traffic::delivery::Delivery;
-use crate::traffic::gate_state::Instruction;
-use crate::traffic::{AnswerParts, Ask, Gate, Sink};
+use crate::traffic::delivery_times::DeliveryTimes;
+use crate::traffic::dispatch_state::Instruction;
+use crate::traffic::{AnswerParts, AnswerSink, CallerRequest, Dispatcher};
 
 /// When to ask again after a target refused and no other may be tried, in milliseconds.
 ///
@@ -35,12 +35,12 @@
 
 /// One caller's request from its arrival to its final answer.
 pub(crate) struct Exchange<A: Adapter> {
-    pub(crate) gate: Rc<Gate<A>>,
-    pub(crate) ask: Ask,
-    pub(crate) sink: Sink,
+    pub(crate) gate: Rc<Dispatcher<A>>,
+    pub(crate) ask: CallerRequest,
+    pub(crate) sink: AnswerSink,
     pub(crate) splitter: EventSplitter,
     pub(crate) attempts: u32,
-    pub(crate) delivery: Delivery,
+    pub(crate) delivery: DeliveryTimes,
     /// Where the last attempt went.
     target: Option<VmName>,
     /// How the last attempt ended, if not with an answer.
@@ -65,7 +65,7 @@
 
 impl<A: Adapter> Exchange<A> {
     /// Lets a request in.
-    pub(crate) fn new(gate: Rc<Gate<A>>, ask: Ask, sink: Sink) -> Self {
+    pub(crate) fn new(gate: Rc<Dispatcher<A>>, ask: CallerRequest, sink: AnswerSink) -> Self {
         let (ticket, instructions) = gate.enter(&ask);
         let splitter = EventSplitter::new(ask.caller.last_event_id.clone());
         Self {
@@ -74,7 +74,7 @@
             sink,
             splitter,
             attempts: 0,
-            delivery: Delivery::default(),
+            delivery: DeliveryTimes::default(),
             target: None,
             attempt_end: None,
             may_have_run: false,
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -1,21 +1,21 @@
 //! Requests: admission, attempts, streams, cancels.
 
-mod ask;
 mod attempt;
 mod body;
-mod delivery;
+mod caller_request;
+mod delivery_times;
+mod dispatch_state;
+mod dispatcher;
 mod exchange;
-mod gate;
-mod gate_state;
+mod forward;
 mod pool;
-mod relay;
 mod sink;
 mod update;
 
-pub(crate) use ask::Ask;
 pub(crate) use body::AnswerBody;
+pub(crate) use caller_request::CallerRequest;
+pub(crate) use dispatch_state::DispatchState;
+pub(crate) use dispatcher::Dispatcher;
 pub(crate) use exchange::Exchange;
-pub(crate) use gate::Gate;
-pub(crate) use gate_state::GateState;
-pub(crate) use sink::{AnswerParts, Sink, sink};
-pub(crate) use update::{OfferedWork, Routable, RoutableName, TrafficReport, TrafficUpdate};
+pub(crate) use sink::{AnswerParts, AnswerSink, sink};
+pub(crate) use update::{Destination, DestinationName, OfferedLoad, TrafficReport, TrafficUpdate};
--- a/crates/gateway/src/traffic/pool.rs
+++ b/crates/gateway/src/traffic/pool.rs
@@ -6,7 +6,7 @@
 use celeryhaven_types::{Map, RequestClass, RequestHead, TimeMs, Verdict};
 
 use crate::adapter::ReportedLoad;
-use crate::traffic::{Routable, RoutableName};
+use crate::traffic::{Destination, DestinationName};
 
 /// Time that a plain answer is supposed to take until some were seen, in milliseconds.
 const PLAIN_MS: f64 = 40.0;
@@ -39,11 +39,11 @@
 pub(crate) struct Pool {
     serves: RequestClass,
     policy: FairPolicy,
-    keys: Map<RoutableName, TargetKey>,
-    routables: Map<TargetKey, Routable>,
+    keys: Map<DestinationName, TargetKey>,
+    routables: Map<TargetKey, Destination>,
     next_key: TargetKey,
     /// Everything that takes its requests, of which this node may use a subset.
-    routables_all: Vec<Routable>,
+    routables_all: Vec<Destination>,
     subset: TargetSubset,
     sharers: u32,
     /// Tokens that one event of a stream holds.
@@ -147,7 +147,7 @@
     }
 
     /// The routable that a key stands for.
-    pub(crate) fn routable(&self, key: TargetKey) -> Option<&Routable> {
+    pub(crate) fn routable(&self, key: TargetKey) -> Option<&Destination> {
         self.routables.get(&key)
     }
 
@@ -155,7 +155,7 @@
     pub(crate) fn set_targets(
         &mut self,
         now: TimeMs,
-        routables: &[Routable],
+        routables: &[Destination],
         out: &mut Vec<Decision>,
     ) {
         self.routables_all = routables.to_vec();
@@ -166,14 +166,14 @@
     fn use_targets(&mut self, now: TimeMs, out: &mut Vec<Decision>) {
         let all = std::mem::take(&mut self.routables_all);
         let sharing = self.sharing(&all);
-        let used: Vec<&Routable> = match sharing {
+        let used: Vec<&Destination> = match sharing {
             Sharing::Pooled => self.subset.choose(&all, |routable| routable.name.as_str()),
             _ => all.iter().collect(),
         };
         let sharers = TargetSubset::sharers(self.sharers, used.len(), all.len());
         self.policy.set_sharing(sharing);
         self.policy.handle(now, PolicyEvent::Sharers { nodes: sharers }, out);
-        let up: Map<&RoutableName, &Routable> =
+        let up: Map<&DestinationName, &Destination> =
             used.iter().map(|routable| (&routable.name, *routable)).collect();
         // A target that starts again keeps its name and may have another address.
         let gone = self.routables.values().filter(|known| up.get(&known.name) != Some(known));
@@ -192,7 +192,7 @@
         self.routables_all = all;
     }
 
-    fn sharing(&self, all: &[Routable]) -> Sharing {
+    fn sharing(&self, all: &[Destination]) -> Sharing {
         let slots = all.iter().map(|routable| routable.slots).max().unwrap_or(0);
         match slots / self.sharers < SLOTS_PER_NODE_MIN {
             true => Sharing::Pooled,
@@ -200,7 +200,7 @@
         }
     }
 
-    fn target_up(&mut self, now: TimeMs, routable: &Routable, out: &mut Vec<Decision>) {
+    fn target_up(&mut self, now: TimeMs, routable: &Destination, out: &mut Vec<Decision>) {
         let target = self.next_key;
         self.next_key = target.next();
         self.keys.insert(routable.name.clone(), target);
@@ -267,7 +267,7 @@
     pub(crate) fn reported(
         &mut self,
         now: TimeMs,
-        name: &RoutableName,
+        name: &DestinationName,
         load: ReportedLoad,
         out: &mut Vec<Decision>,
     ) {
--- a/crates/gateway/src/traffic/sink.rs
+++ b/crates/gateway/src/traffic/sink.rs
@@ -28,20 +28,20 @@
 
 /// Where an exchange puts its answer.
 #[derive(Debug)]
-pub(crate) struct Sink {
+pub(crate) struct AnswerSink {
     parts: Sender<AnswerParts>,
     pieces: Sender<Piece>,
     begun: bool,
 }
 
 /// A sink, and the ends at which the answer comes out.
-pub(crate) fn sink() -> (Sink, Receiver<AnswerParts>, Receiver<Piece>) {
+pub(crate) fn sink() -> (AnswerSink, Receiver<AnswerParts>, Receiver<Piece>) {
     let (parts, parts_out) = bounded(1);
     let (pieces, pieces_out) = bounded(WAITING_PIECES);
-    (Sink { parts, pieces, begun: false }, parts_out, pieces_out)
+    (AnswerSink { parts, pieces, begun: false }, parts_out, pieces_out)
 }
 
-impl Sink {
+impl AnswerSink {
     /// Whether the caller has the head of an answer.
     pub(crate) fn has_begun(&self) -> bool {
         self.begun
--- a/crates/gateway/src/traffic/update.rs
+++ b/crates/gateway/src/traffic/update.rs
@@ -8,7 +8,7 @@
 state! {
     /// Something that requests can be sent to.
     #[derive(Eq, Hash, PartialOrd, Ord)]
-    pub(crate) enum RoutableName {
+    pub(crate) enum DestinationName {
         /// A whole replica; its head takes the requests.
         Replica(ReplicaKey),
         /// A target of a plain service.
@@ -17,9 +17,9 @@
 
     /// A whole replica, or a target of a plain service.
     #[derive(Eq)]
-    pub(crate) struct Routable {
+    pub(crate) struct Destination {
         /// Names it.
-        pub(crate) name: RoutableName,
+        pub(crate) name: DestinationName,
         /// The service that it belongs to.
         pub(crate) service: ServiceName,
         /// The model that it serves; `None` for a plain service.
@@ -33,7 +33,7 @@
     }
 }
 
-impl RoutableName {
+impl DestinationName {
     /// The replica's or the target's name.
     pub(crate) fn as_str(&self) -> &str {
         match self {
@@ -49,11 +49,11 @@
     /// The configuration in force; `None` while none is known.
     pub(crate) routes: Option<Arc<RouteTable>>,
     /// Everything that requests may be sent to.
-    pub(crate) routables: Arc<[Routable]>,
+    pub(crate) destinations: Arc<[Destination]>,
     /// Addresses of the nodes that take requests, this one among them if it does.
     pub(crate) addresses: Vec<SocketAddr>,
     /// Live nodes that send to the same targets, this one included.
-    pub(crate) sharers: u32,
+    pub(crate) senders: u32,
     /// Whether this node takes requests.
     pub(crate) ready: bool,
     /// Until when this node counts as cut off from the store.
@@ -68,9 +68,9 @@
             (own, others) => own.is_none() && others.is_none(),
         };
         routes
-            && Arc::ptr_eq(&self.routables, &other.routables)
+            && Arc::ptr_eq(&self.destinations, &other.destinations)
             && self.addresses == other.addresses
-            && self.sharers == other.sharers
+            && self.senders == other.senders
             && self.ready == other.ready
             && self.cut_off_until == other.cut_off_until
     }
@@ -78,7 +78,7 @@
 
 state! {
     /// Work that callers have offered for one model.
-    pub(crate) struct OfferedWork {
+    pub(crate) struct OfferedLoad {
         /// The model.
         pub(crate) model: ModelName,
         /// Time in a slot that it takes, in milliseconds.
@@ -94,7 +94,7 @@
     /// The requests at a replica stand still together.
     Suspected(ReplicaKey),
     /// A target is named as lost, or refuses connections.
-    Accused(VmName),
+    LossReported(VmName),
     /// Work that callers have offered since the last time.
-    Offered(Vec<OfferedWork>),
+    Offered(Vec<OfferedLoad>),
 }
