--- a/crates/gateway/src/http/callers.rs
+++ b/crates/gateway/src/http/callers.rs
@@ -13,62 +13,59 @@
 
 use crate::adapter::{Adapter, CallerHead};
 use crate::http::{refusal_parts, strip_hop_by_hop};
-use crate::traffic::{AnswerBody, AnswerParts, CallerRequest, Dispatcher, Exchange, sink};
+use crate::traffic::{AnswerBody, AnswerParts, CallerRequest, Dispatcher, Exchange, answer_sink};
 
-/// When to ask again at a node that takes no requests, in milliseconds.
-///
-/// A node that starts knows the configuration within some hundred milliseconds, and others take
-/// requests meanwhile.
-const NOT_READY_RETRY_MS: u64 = 300;
+/// Retry delay suggested while this node does not accept requests, in milliseconds.
+const NOT_READY_RETRY_AFTER_MS: u64 = 300;
 
-/// Time after the signal to stop until which a request may still begin here, in milliseconds.
+/// Time after the stop signal during which new requests are accepted, in milliseconds.
 ///
-/// A stream that begins later may not end before the process does.
-const LEAVING_BEGIN_MS: u64 = 3_000;
+/// A stream that starts later may not finish before the process exits.
+const DRAIN_ACCEPT_MS: u64 = 3_000;
 
-/// How long a caller may take to send a body, in milliseconds.
-///
-/// Load: callers that stop in the middle of a body. Harm: what they sent is held until the
-/// connection ends. Limit: far above what the largest body takes on a slow link.
+/// Time limit for receiving a request body, in milliseconds.
 const BODY_TIMEOUT_MS: u64 = 10_000;
 
-/// Why a request gets an answer of this node's own.
-enum Rejected {
+/// An error answer produced by this node.
+enum Rejection {
     Refusal(StatusCode, Refusal),
 }
 
-/// Answers one request of a caller.
+/// Answers a caller request.
 pub(crate) async fn answer_caller<A: Adapter>(
-    gate: Rc<Dispatcher<A>>,
+    dispatcher: Rc<Dispatcher<A>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let mut response = match read_ask(&gate, request).await {
-        Ok(ask) => serve(gate.clone(), ask).await,
-        Err(Rejected::Refusal(status, refusal)) => {
-            info!(gate.log, "request rejected"; "status" => status.as_u16(),
+    let mut response = match read_request(&dispatcher, request).await {
+        Ok(request) => serve(dispatcher.clone(), request).await,
+        Err(Rejection::Refusal(status, refusal)) => {
+            info!(dispatcher.log, "request rejected"; "status" => status.as_u16(),
                 "code" => format!("{:?}", refusal.code));
-            response_of(refusal_parts(status, &refusal, None), AnswerBody::full(Bytes::new()))
+            build_response(refusal_parts(status, &refusal, None), AnswerBody::full(Bytes::new()))
         }
     };
-    if gate.state.borrow().leaving_since.is_some() {
-        // Callers with an old address answer go elsewhere with their next request.
+    if dispatcher.state.borrow().leaving_since.is_some() {
+        // Closing the connection makes the caller use a current address for its next request.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-async fn serve<A: Adapter>(gate: Rc<Dispatcher<A>>, ask: CallerRequest) -> Response<AnswerBody> {
-    let (sink, parts, pieces) = sink();
-    let exchange = Exchange::new(gate.clone(), ask, sink);
-    let task = gate.executor.spawn(exchange.run());
+async fn serve<A: Adapter>(
+    dispatcher: Rc<Dispatcher<A>>,
+    request: CallerRequest,
+) -> Response<AnswerBody> {
+    let (sink, parts, chunks) = answer_sink();
+    let exchange = Exchange::new(dispatcher.clone(), request, sink);
+    let task = dispatcher.executor.spawn(exchange.run());
     match parts.recv().await {
-        Ok(parts) if parts.whole.is_some() => {
+        Ok(parts) if parts.body.is_some() => {
             task.detach();
-            response_of(parts, AnswerBody::full(Bytes::new()))
+            build_response(parts, AnswerBody::full(Bytes::new()))
         }
-        Ok(parts) => response_of(parts, AnswerBody::pieces(pieces, task)),
-        // The exchange always begins an answer before it ends.
-        Err(_) => response_of(
+        Ok(parts) => build_response(parts, AnswerBody::chunked(chunks, task)),
+        // The exchange always sends a head before it ends.
+        Err(_) => build_response(
             refusal_parts(
                 StatusCode::BAD_GATEWAY,
                 &Refusal::may_have_run(RefusalCode::AnswerLost),
@@ -79,8 +76,8 @@
     }
 }
 
-fn response_of(parts: AnswerParts, body: AnswerBody) -> Response<AnswerBody> {
-    let body = match parts.whole {
+fn build_response(parts: AnswerParts, body: AnswerBody) -> Response<AnswerBody> {
+    let body = match parts.body {
         Some(bytes) => AnswerBody::full(bytes),
         None => body,
     };
@@ -90,29 +87,29 @@
     response
 }
 
-async fn read_ask<A: Adapter>(
-    gate: &Rc<Dispatcher<A>>,
+async fn read_request<A: Adapter>(
+    dispatcher: &Rc<Dispatcher<A>>,
     request: Request<Incoming>,
-) -> Result<CallerRequest, Rejected> {
-    let arrived_at = gate.now();
+) -> Result<CallerRequest, Rejection> {
+    let arrived_at = dispatcher.now();
     let (parts, body) = request.into_parts();
-    let caller = gate.adapter.caller_head(&parts.headers);
-    let body = read_body(gate, body).await?;
+    let caller = dispatcher.adapter.caller_head(&parts.headers);
+    let body = read_body(dispatcher, body).await?;
     let (routes, leaving_ms) = {
-        let state = gate.state.borrow();
-        let leaving_ms = state.leaving_since.map(|since| gate.now().since(since));
+        let state = dispatcher.state.borrow();
+        let leaving_ms = state.leaving_since.map(|since| dispatcher.now().since(since));
         (state.routes.clone(), leaving_ms)
     };
     let Some(routes) = routes else { return Err(unavailable()) };
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = routes.route(host, parts.uri.path()).ok_or_else(|| {
-        Rejected::Refusal(StatusCode::NOT_FOUND, Refusal::not_run(RefusalCode::UnknownService))
+        Rejection::Refusal(StatusCode::NOT_FOUND, Refusal::not_run(RefusalCode::UnknownService))
     })?;
-    let (organisation, own_rank) = holder(&routes, route, &caller)?;
-    if leaving_ms.is_some_and(|ms| ms > LEAVING_BEGIN_MS) {
+    let (organisation, own_rank) = authenticate(&routes, route, &caller)?;
+    if leaving_ms.is_some_and(|ms| ms > DRAIN_ACCEPT_MS) {
         return Err(unavailable());
     }
-    let service = route.draw(random_fraction(&caller)).cloned().ok_or_else(unavailable)?;
+    let service = route.draw(request_fraction(&caller)).cloned().ok_or_else(unavailable)?;
     let has_engines =
         routes.config().service(&service).is_some_and(|service| service.engine.is_some());
     let budget_ms = caller.budget_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
@@ -136,20 +133,20 @@
     })
 }
 
-/// Whose request it is; a key that nobody holds is refused.
-fn holder(
+/// Returns the organisation and rank that belong to the caller's key; rejects unknown keys.
+fn authenticate(
     routes: &Arc<RouteTable>,
     route: &Route,
     caller: &CallerHead,
-) -> Result<(Option<OrganisationName>, Option<u8>), Rejected> {
+) -> Result<(Option<OrganisationName>, Option<u8>), Rejection> {
     if !routes.needs_keys() {
         return Ok((None, None));
     }
-    let held = caller.key.as_deref().and_then(|key| routes.holder(key));
-    match held {
+    let holder = caller.key.as_deref().and_then(|key| routes.holder(key));
+    match holder {
         Some((name, rank)) => Ok((Some(name.clone()), rank)),
         None if route.anonymous => Ok((None, None)),
-        None => Err(Rejected::Refusal(
+        None => Err(Rejection::Refusal(
             StatusCode::UNAUTHORIZED,
             Refusal::not_run(RefusalCode::Unauthenticated),
         )),
@@ -157,49 +154,48 @@
 }
 
 async fn read_body<A: Adapter>(
-    gate: &Rc<Dispatcher<A>>,
+    dispatcher: &Rc<Dispatcher<A>>,
     body: Incoming,
-) -> Result<Bytes, Rejected> {
-    let limit = gate.state.borrow().routes.as_ref().map(|r| r.config().limits.body_bytes_max);
+) -> Result<Bytes, Rejection> {
+    let limit = dispatcher.state.borrow().routes.as_ref().map(|r| r.config().limits.body_bytes_max);
     let read = async { Some(Limited::new(body, limit.unwrap_or(usize::MAX)).collect().await) };
-    let late = async {
+    let timeout = async {
         Timer::after(std::time::Duration::from_millis(BODY_TIMEOUT_MS)).await;
         None
     };
-    match smol::future::or(read, late).await {
-        Some(Ok(whole)) => Ok(whole.to_bytes()),
-        Some(Err(error)) if error.is::<LengthLimitError>() => Err(Rejected::Refusal(
+    match smol::future::or(read, timeout).await {
+        Some(Ok(collected)) => Ok(collected.to_bytes()),
+        Some(Err(error)) if error.is::<LengthLimitError>() => Err(Rejection::Refusal(
             StatusCode::PAYLOAD_TOO_LARGE,
             Refusal::not_run(RefusalCode::BodyTooLarge),
         )),
-        Some(Err(_)) => Err(Rejected::Refusal(
+        Some(Err(_)) => Err(Rejection::Refusal(
             StatusCode::BAD_REQUEST,
             Refusal::not_run(RefusalCode::BadRequest),
         )),
-        None => Err(Rejected::Refusal(
+        None => Err(Rejection::Refusal(
             StatusCode::REQUEST_TIMEOUT,
             Refusal::not_run(RefusalCode::SlowCaller),
         )),
     }
 }
 
-fn unavailable() -> Rejected {
+fn unavailable() -> Rejection {
     let refusal = Refusal::not_run(RefusalCode::NodeUnavailable);
-    let refusal = refusal.with_retry_after_ms(NOT_READY_RETRY_MS);
-    Rejected::Refusal(StatusCode::SERVICE_UNAVAILABLE, refusal)
+    let refusal = refusal.with_retry_after_ms(NOT_READY_RETRY_AFTER_MS);
+    Rejection::Refusal(StatusCode::SERVICE_UNAVAILABLE, refusal)
 }
 
-/// A number from 0 to 1 for the draw among services.
+/// Returns a number from 0 to 1 derived from the request id, for weighted service selection.
 ///
-/// It follows from the request's id, so that each of a caller's tries is drawn anew and a request
-/// is drawn the same wherever it is looked at.
-fn random_fraction(caller: &CallerHead) -> f64 {
+/// Every node selects the same service for the same request.
+fn request_fraction(caller: &CallerHead) -> f64 {
     let id = caller.request_id.as_deref().unwrap_or_default();
     let hash =
         id.bytes().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// Source: Fowler, Noll, Vo, 64-bit FNV-1a.
+/// FNV-1a, 64 bit, by Fowler, Noll and Vo.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/gateway/src/http/endpoints.rs
+++ b/crates/gateway/src/http/endpoints.rs
@@ -7,63 +7,66 @@
 use crate::adapter::{Adapter, AddressAnswer};
 use crate::traffic::{AnswerBody, Dispatcher};
 
-/// Addresses that one answer names at most.
+/// Maximum number of addresses in one answer.
 const ADDRESSES_MAX: usize = 64;
 
-/// Header by which a node tells others that the store does not serve it.
+/// Header that marks a node as cut off from the store.
 pub(crate) const CUT_OFF_HEADER: HeaderName = HeaderName::from_static("celeryhaven-cut-off");
 
-/// Tells the platform and other nodes whether this node takes requests.
+/// Answers a readiness probe of the platform or another node.
 pub(crate) async fn answer_ready<A: Adapter>(
-    gate: Rc<Dispatcher<A>>,
+    dispatcher: Rc<Dispatcher<A>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let known = request.uri().path() == gate.adapter.paths().ready;
-    let state = gate.state.borrow();
-    let status = match (known, state.ready && state.leaving_since.is_none()) {
+    let path_matches = request.uri().path() == dispatcher.adapter.paths().ready;
+    let state = dispatcher.state.borrow();
+    let status = match (path_matches, state.ready && state.leaving_since.is_none()) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = plain(status, "");
-    if state.cut_off_until.is_some_and(|until| until > gate.now()) {
+    let mut response = plain_response(status, "");
+    if state.cut_off_until.is_some_and(|until| until > dispatcher.now()) {
         response.headers_mut().insert(CUT_OFF_HEADER, HeaderValue::from_static("1"));
     }
     response
 }
 
-/// Tells a caller which addresses to use.
+/// Answers a caller's address lookup.
 pub(crate) async fn answer_lookup<A: Adapter>(
-    gate: Rc<Dispatcher<A>>,
+    dispatcher: Rc<Dispatcher<A>>,
     ttl_ms: u64,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    if request.uri().path() != gate.adapter.paths().addresses {
-        return plain(StatusCode::NOT_FOUND, "");
+    if request.uri().path() != dispatcher.adapter.paths().addresses {
+        return plain_response(StatusCode::NOT_FOUND, "");
     }
-    let mut addresses = gate.state.borrow().addresses.clone();
+    let mut addresses = dispatcher.state.borrow().addresses.clone();
     addresses.truncate(ADDRESSES_MAX);
     if addresses.is_empty() {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "");
+        return plain_response(StatusCode::SERVICE_UNAVAILABLE, "");
     }
     let answer = AddressAnswer { addresses: &addresses, ttl_ms };
-    let mut response = plain(StatusCode::OK, gate.adapter.address_answer(&answer));
+    let mut response = plain_response(StatusCode::OK, dispatcher.adapter.address_answer(&answer));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// Serves the metrics as text.
+/// Answers with the metrics in text format.
 pub(crate) async fn answer_metrics<A: Adapter>(
-    gate: Rc<Dispatcher<A>>,
+    dispatcher: Rc<Dispatcher<A>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     match request.uri().path() {
-        "/metrics" => plain(StatusCode::OK, gate.metrics.process.encode()),
-        _ => plain(StatusCode::NOT_FOUND, ""),
+        "/metrics" => plain_response(StatusCode::OK, dispatcher.metrics.process.encode()),
+        _ => plain_response(StatusCode::NOT_FOUND, ""),
     }
 }
 
-pub(crate) fn plain(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response<AnswerBody> {
+pub(crate) fn plain_response(
+    status: StatusCode,
+    body: impl Into<bytes::Bytes>,
+) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::full(body));
     *response.status_mut() = status;
     response
--- a/crates/gateway/src/http/headers.rs
+++ b/crates/gateway/src/http/headers.rs
@@ -4,13 +4,13 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 7] =
     [CONNECTION, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
 
-/// Takes out headers that concern one connection only, also those that `Connection` names.
+/// Removes hop-by-hop headers, including those that `Connection` lists.
 ///
-/// Source: RFC 9110, section 7.6.1.
+/// See RFC 9110, section 7.6.1.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The listeners.
+//! Request handlers of the HTTP listeners.
 
 mod callers;
 mod endpoints;
--- a/crates/gateway/src/http/refusal.rs
+++ b/crates/gateway/src/http/refusal.rs
@@ -13,7 +13,7 @@
     request_id: Option<&'a str>,
 }
 
-/// A refusal as an answer: status, when to ask again, and the reason as JSON.
+/// Builds the answer for a refusal: status, `Retry-After`, and a JSON body with the reason.
 pub(crate) fn refusal_parts(
     status: StatusCode,
     refusal: &Refusal,
@@ -26,5 +26,5 @@
     if let Some(value) = retry_after.and_then(|text| HeaderValue::from_str(&text).ok()) {
         headers.insert(RETRY_AFTER, value);
     }
-    AnswerParts { status, headers, whole: Some(Bytes::from(body)) }
+    AnswerParts { status, headers, body: Some(Bytes::from(body)) }
 }
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -12,179 +12,181 @@
 use crate::traffic::exchange::{Exchange, Interrupt};
 use crate::traffic::{Destination, TrafficReport};
 
-/// Taken off the time that a target is given, for the way of its answer, in milliseconds.
-const WAY_MS: u64 = 5;
+/// Part of the deadline budget reserved for the return of the answer, in milliseconds.
+const ANSWER_TRANSIT_MS: u64 = 5;
 
-/// How one send to a target ended.
+/// The outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AttemptEnd {
-    /// The caller has the target's whole answer.
+pub(crate) enum AttemptOutcome {
+    /// The caller has the target's complete answer.
     Answered,
-    /// There is no whole answer.
-    Broken(Verdict),
-    /// It was given up here.
+    /// The target gave no complete answer.
+    Failed(Verdict),
+    /// This node cancelled the attempt.
     Interrupted(Interrupt),
 }
 
-/// One send of a request to one target.
+/// One attempt to send a request to one target.
 pub(crate) struct Attempt<'a, A: Adapter> {
     pub(crate) exchange: &'a mut Exchange<A>,
-    pub(crate) routable: &'a Destination,
+    pub(crate) destination: &'a Destination,
 }
 
 impl<'a, A: Adapter> Attempt<'a, A> {
-    pub(crate) fn new(exchange: &'a mut Exchange<A>, routable: &'a Destination) -> Self {
-        Self { exchange, routable }
+    pub(crate) fn new(exchange: &'a mut Exchange<A>, destination: &'a Destination) -> Self {
+        Self { exchange, destination }
     }
 
-    /// Sends the request and passes the answer on.
-    pub(crate) async fn run(mut self) -> AttemptEnd {
+    /// Sends the request and forwards the answer.
+    pub(crate) async fn run(mut self) -> AttemptOutcome {
         let (channel, response) = match self.send().await {
             Ok(sent) => sent,
-            Err(end) => return end,
+            Err(outcome) => return outcome,
         };
-        let gate = self.exchange.gate.clone();
-        let head = gate.adapter.answer_head(response.status(), response.headers());
+        let dispatcher = self.exchange.dispatcher.clone();
+        let head = dispatcher.adapter.answer_head(response.status(), response.headers());
         if let Some(load) = head.load {
-            gate.reported(self.exchange.ticket, &self.routable.name, load);
+            dispatcher.load_reported(self.exchange.ticket, &self.destination.name, load);
         }
         if head.not_run {
             return self.refused(&response, &head);
         }
         if !self.is_own_answer(&head) {
-            self.note("answer of another request", response.status().as_u16());
-            return AttemptEnd::Broken(Verdict::MayHaveRun);
+            self.log_end("answer of another request", response.status().as_u16());
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
         }
-        self.relay(channel, response, head).await
+        self.forward(channel, response, head).await
     }
 
-    /// Sends on a kept channel, and on a new one if the kept one had ended unused.
-    async fn send(&mut self) -> Result<(Channel, Response<Incoming>), AttemptEnd> {
-        let channels = self.exchange.gate.channels.clone();
-        let address = self.routable.address;
-        let (channel, is_new) = self.unless_broken(async { channels.take(address).await }).await?;
-        match self.exchange_on(channel).await {
-            Err(Sent::Nothing) if !is_new => {}
-            Err(Sent::Nothing) => return Err(AttemptEnd::Broken(Verdict::NotRun)),
-            Err(Sent::End(end)) => return Err(end),
+    /// Sends on a pooled connection, and on a new one if the target had already closed the pooled
+    /// one.
+    async fn send(&mut self) -> Result<(Channel, Response<Incoming>), AttemptOutcome> {
+        let channels = self.exchange.dispatcher.channels.clone();
+        let address = self.destination.address;
+        let (channel, is_new) =
+            self.connect_or_fail(async { channels.take(address).await }).await?;
+        match self.send_on(channel).await {
+            Err(SendError::NotSent) if !is_new => {}
+            Err(SendError::NotSent) => return Err(AttemptOutcome::Failed(Verdict::NotRun)),
+            Err(SendError::Ended(outcome)) => return Err(outcome),
             Ok(answered) => return Ok(answered),
         }
-        let channel = self.unless_broken(async { channels.connect(address).await }).await?;
-        match self.exchange_on(channel).await {
-            Err(Sent::Nothing) => Err(AttemptEnd::Broken(Verdict::NotRun)),
-            Err(Sent::End(end)) => Err(end),
+        let channel = self.connect_or_fail(async { channels.connect(address).await }).await?;
+        match self.send_on(channel).await {
+            Err(SendError::NotSent) => Err(AttemptOutcome::Failed(Verdict::NotRun)),
+            Err(SendError::Ended(outcome)) => Err(outcome),
             Ok(answered) => Ok(answered),
         }
     }
 
-    async fn exchange_on(
+    async fn send_on(
         &mut self,
         mut channel: Channel,
-    ) -> Result<(Channel, Response<Incoming>), Sent> {
-        let request = self.request();
+    ) -> Result<(Channel, Response<Incoming>), SendError> {
+        let request = self.build_request();
         let answer = self.exchange.unless_interrupted(channel.send(request)).await;
         match answer {
             Ok(Ok(response)) => Ok((channel, response)),
-            Ok(Err(ChannelError::Ended)) => Err(Sent::Nothing),
+            Ok(Err(ChannelError::Ended)) => Err(SendError::NotSent),
             Ok(Err(error)) => {
-                self.note_error(&error);
-                Err(Sent::End(AttemptEnd::Broken(error.verdict())))
+                self.log_failure(&error);
+                Err(SendError::Ended(AttemptOutcome::Failed(error.verdict())))
             }
-            Err(interrupt) => Err(Sent::End(AttemptEnd::Interrupted(interrupt))),
+            Err(interrupt) => Err(SendError::Ended(AttemptOutcome::Interrupted(interrupt))),
         }
     }
 
-    /// Waits for a connection; none means that the request has not run.
-    async fn unless_broken<T>(
+    /// Waits for a connection; without one, the request has not run.
+    async fn connect_or_fail<T>(
         &mut self,
         connect: impl Future<Output = Result<T, ChannelError>>,
-    ) -> Result<T, AttemptEnd> {
+    ) -> Result<T, AttemptOutcome> {
         match self.exchange.unless_interrupted(connect).await {
             Ok(Ok(connected)) => Ok(connected),
             Ok(Err(error)) => {
-                self.note_error(&error);
-                let gate = &self.exchange.gate;
-                gate.notify_control(TrafficReport::LossReported(self.routable.target.clone()));
-                gate.suspected(&self.routable.name, "no connection");
-                Err(AttemptEnd::Broken(Verdict::NotRun))
+                self.log_failure(&error);
+                let dispatcher = &self.exchange.dispatcher;
+                dispatcher
+                    .notify_control(TrafficReport::LossReported(self.destination.target.clone()));
+                dispatcher.suspect_replica(&self.destination.name, "no connection");
+                Err(AttemptOutcome::Failed(Verdict::NotRun))
             }
-            // Nothing has left yet.
-            Err(Interrupt::Cancelled) => Err(AttemptEnd::Broken(Verdict::NotRun)),
-            Err(Interrupt::Deadline) => Err(AttemptEnd::Interrupted(Interrupt::Deadline)),
+            // Nothing has been sent.
+            Err(Interrupt::Cancelled) => Err(AttemptOutcome::Failed(Verdict::NotRun)),
+            Err(Interrupt::Deadline) => Err(AttemptOutcome::Interrupted(Interrupt::Deadline)),
         }
     }
 
-    fn request(&self) -> Request<Full<Bytes>> {
-        let ask = &self.exchange.ask;
+    fn build_request(&self) -> Request<Full<Bytes>> {
+        let caller_request = &self.exchange.request;
         let left_ms = self.exchange.time_left().as_millis() as u64;
         let sending = Sending {
-            budget_ms: left_ms.saturating_sub(WAY_MS).max(1),
-            expected: &self.routable.target,
-            organisation: ask.organisation.as_ref(),
-            rank: ask.rank,
+            budget_ms: left_ms.saturating_sub(ANSWER_TRANSIT_MS).max(1),
+            expected: &self.destination.target,
+            organisation: caller_request.organisation.as_ref(),
+            rank: caller_request.rank,
             last_event_id: self.exchange.splitter.last_id(),
         };
-        let mut headers = ask.headers.clone();
-        self.exchange.gate.adapter.prepare(&mut headers, &sending);
-        let mut request = Request::new(Full::new(ask.body.clone()));
-        *request.method_mut() = ask.method.clone();
-        *request.uri_mut() = ask.uri.clone();
+        let mut headers = caller_request.headers.clone();
+        self.exchange.dispatcher.adapter.prepare(&mut headers, &sending);
+        let mut request = Request::new(Full::new(caller_request.body.clone()));
+        *request.method_mut() = caller_request.method.clone();
+        *request.uri_mut() = caller_request.uri.clone();
         *request.headers_mut() = headers;
         request
     }
 
-    /// Whether the answer belongs to this request.
+    /// Whether the answer echoes the id of this request.
     ///
-    /// Guards against a late answer to an earlier request, which a faulty target may send at the
-    /// point where the next one is expected: the identity that it echoes is another.
+    /// A faulty target may answer an earlier request late, in place of this one.
     fn is_own_answer(&self, head: &AnswerHead) -> bool {
-        match &self.exchange.ask.caller.request_id {
+        match &self.exchange.request.caller.request_id {
             Some(id) => head.request_id.as_ref() == Some(id),
             None => true,
         }
     }
 
-    /// The target says that it has not run the request.
-    fn refused(&self, response: &Response<Incoming>, head: &AnswerHead) -> AttemptEnd {
-        self.note("refused by target", response.status().as_u16());
-        if let Some(accused) = &head.accused {
-            let gate = &self.exchange.gate;
-            gate.notify_control(TrafficReport::LossReported(accused.clone()));
-            gate.refuses(&self.routable.name);
+    /// Handles an answer that says that the target has not run the request.
+    fn refused(&self, response: &Response<Incoming>, head: &AnswerHead) -> AttemptOutcome {
+        self.log_end("refused by target", response.status().as_u16());
+        if let Some(lost) = &head.accused {
+            let dispatcher = &self.exchange.dispatcher;
+            dispatcher.notify_control(TrafficReport::LossReported(lost.clone()));
+            dispatcher.avoid_replica(&self.destination.name);
         }
-        AttemptEnd::Broken(Verdict::NotRun)
+        AttemptOutcome::Failed(Verdict::NotRun)
     }
 
-    fn note_error(&self, error: &ChannelError) {
-        info!(self.exchange.gate.log, "attempt broken";
-            "request_id" => self.exchange.ask.id(),
-            "target" => self.routable.target.as_str(),
+    fn log_failure(&self, error: &ChannelError) {
+        info!(self.exchange.dispatcher.log, "attempt broken";
+            "request_id" => self.exchange.request.id(),
+            "target" => self.destination.target.as_str(),
             "attempt" => self.exchange.attempts,
             "verdict" => error.verdict().as_str(),
             "error" => error.to_string(),
         );
     }
 
-    pub(crate) fn note(&self, what: &'static str, status: u16) {
-        info!(self.exchange.gate.log, "attempt ended";
-            "request_id" => self.exchange.ask.id(),
-            "target" => self.routable.target.as_str(),
+    pub(crate) fn log_end(&self, why: &'static str, status: u16) {
+        info!(self.exchange.dispatcher.log, "attempt ended";
+            "request_id" => self.exchange.request.id(),
+            "target" => self.destination.target.as_str(),
             "attempt" => self.exchange.attempts,
             "status" => status,
-            "why" => what,
+            "why" => why,
         );
     }
 
-    /// How long the target keeps a channel, a second less than it says.
-    pub(crate) fn keep(head: &AnswerHead) -> Option<Duration> {
+    /// Returns how long the connection may stay idle, one second less than the target allows.
+    pub(crate) fn idle_timeout(head: &AnswerHead) -> Option<Duration> {
         head.keep_s.map(|keep_s| Duration::from_secs(keep_s.saturating_sub(1)))
     }
 }
 
-/// Why a channel gave no answer.
-enum Sent {
-    /// It had ended before anything was sent.
-    Nothing,
+/// Why a connection gave no answer.
+enum SendError {
+    /// The connection had closed before anything was sent.
+    NotSent,
     /// The attempt is over.
-    End(AttemptEnd),
+    Ended(AttemptOutcome),
 }
--- a/crates/gateway/src/traffic/body.rs
+++ b/crates/gateway/src/traffic/body.rs
@@ -8,60 +8,61 @@
 use smol::Task;
 use snafu::Snafu;
 
-use crate::traffic::sink::Piece;
+use crate::traffic::sink::Chunk;
 
-/// An answer that ends before it is whole; its connection is closed without an end mark.
+/// The answer ended before it was complete; its connection is closed without an end mark.
 #[derive(Clone, Copy, Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub(crate) struct AnswerBroken;
+#[snafu(display("answer body ended before it was complete"))]
+pub(crate) struct AnswerTruncated;
 
 /// The body of an answer; dropping it cancels the exchange.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    /// Known whole.
-    Whole(Option<Bytes>),
-    /// In pieces.
-    Pieces {
-        /// Where they come from.
-        pieces: Pin<Box<Receiver<Piece>>>,
-        /// Whether the last one has come.
+    /// The complete body.
+    Full(Option<Bytes>),
+    /// A body that arrives in chunks.
+    Chunked {
+        /// The source of the chunks.
+        chunks: Pin<Box<Receiver<Chunk>>>,
+        /// Whether the last chunk has been received.
         ended: bool,
-        /// The exchange.
+        /// The task that runs the exchange.
         exchange: Option<Task<()>>,
     },
 }
 
 impl AnswerBody {
-    /// A body that is known whole.
+    /// Creates a complete body.
     pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+        Self::Full(Some(bytes.into()))
     }
 
-    /// A body whose pieces an exchange sends.
-    pub(crate) fn pieces(pieces: Receiver<Piece>, exchange: Task<()>) -> Self {
-        Self::Pieces { pieces: Box::pin(pieces), ended: false, exchange: Some(exchange) }
+    /// Creates a body from the chunks that an exchange sends.
+    pub(crate) fn chunked(chunks: Receiver<Chunk>, exchange: Task<()>) -> Self {
+        Self::Chunked { chunks: Box::pin(chunks), ended: false, exchange: Some(exchange) }
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = AnswerTruncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerTruncated>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(
+            Self::Full(bytes) => Poll::Ready(
                 bytes.take().filter(|bytes| !bytes.is_empty()).map(|b| Ok(Frame::data(b))),
             ),
-            Self::Pieces { ended: true, .. } => Poll::Ready(None),
-            Self::Pieces { pieces, ended, exchange } => {
-                match ready!(pieces.as_mut().poll_next(cx)) {
-                    Some(Piece::Data(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-                    Some(Piece::End) => {
+            Self::Chunked { ended: true, .. } => Poll::Ready(None),
+            Self::Chunked { chunks, ended, exchange } => {
+                match ready!(chunks.as_mut().poll_next(cx)) {
+                    Some(Chunk::Data(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
+                    Some(Chunk::End) => {
                         *ended = true;
-                        // It has only its records left to write; cancelled, it would lose them.
+                        // The exchange has only to record its completion, which cancelling it would
+                        // prevent.
                         if let Some(exchange) = exchange.take() {
                             exchange.detach();
                         }
@@ -69,7 +70,7 @@
                     }
                     None => {
                         *ended = true;
-                        Poll::Ready(Some(Err(AnswerBroken)))
+                        Poll::Ready(Some(Err(AnswerTruncated)))
                     }
                 }
             }
@@ -78,17 +79,17 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Self::Pieces { ended, .. } => *ended,
+            Self::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Self::Chunked { ended, .. } => *ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces { .. } => SizeHint::default(),
+            Self::Chunked { .. } => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/traffic/caller_request.rs
+++ b/crates/gateway/src/traffic/caller_request.rs
@@ -8,18 +8,18 @@
 
 use crate::adapter::CallerHead;
 
-/// Worth of a request whose route says nothing of it, relative to others.
+/// Relative worth of a request, used for every route.
 const WORTH: u32 = 1;
 
 /// The least urgent rank.
 const RANK_LAST: u8 = 9;
 
-/// One caller's request, ready to be sent.
+/// A caller request that is ready to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
-    /// The model asked for; `None` at a plain service.
+    /// The requested model; `None` for a plain service.
     pub(crate) model: Option<ModelName>,
     pub(crate) caller: CallerHead,
     pub(crate) organisation: Option<OrganisationName>,
@@ -33,7 +33,7 @@
 }
 
 impl CallerRequest {
-    /// What the request policy is told; `tokens_per_event` is its unit of output.
+    /// Returns the request head for the policy, whose unit of output is `tokens_per_event` tokens.
     pub(crate) fn head(&self, now: TimeMs, tokens_per_event: u32) -> RequestHead {
         let class = match &self.model {
             Some(model) => RequestClass::Completion { model: model.clone(), adapter: None },
@@ -59,24 +59,24 @@
         }
     }
 
-    /// Events that its answer may hold, of so many tokens each.
+    /// Returns the number of events that the answer may hold.
     pub(crate) fn events_allowed(&self, tokens_per_event: u32) -> u32 {
         let output = self.caller.output_tokens.unwrap_or(self.caller.output_tokens_max);
         output.div_ceil(tokens_per_event.max(1))
     }
 
-    /// The request's id, for logs and for its target.
+    /// Returns the request id, or an empty string if the caller sent none.
     pub(crate) fn id(&self) -> &str {
         self.caller.request_id.as_deref().unwrap_or("")
     }
 
-    /// Whether a request that may have run may be sent again.
+    /// Whether the request may be sent again after it may have run.
     pub(crate) fn may_repeat(&self) -> bool {
         self.route.kind.may_repeat()
     }
 }
 
-/// The policy counts the other way round: its highest number is the most urgent.
+/// Converts a rank, where 0 is the most urgent, to a priority, where the highest is.
 fn priority(rank: u8) -> Priority {
     Priority::new(RANK_LAST.saturating_sub(rank))
 }
--- a/crates/gateway/src/traffic/dispatch_state.rs
+++ b/crates/gateway/src/traffic/dispatch_state.rs
@@ -9,158 +9,159 @@
 use crate::traffic::pool::{Pool, RetryLimits};
 use crate::traffic::{CallerRequest, Destination, DestinationName, OfferedLoad};
 
-/// Names a pool: a service, and the model where it has engines.
+/// Identifies a pool: the service, and the model if the service has engines.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct PoolKey {
     pub(crate) service: ServiceName,
     pub(crate) model: Option<ModelName>,
 }
 
-/// What the gate tells an exchange.
+/// An instruction from the dispatcher to an exchange.
 #[derive(Clone, Debug)]
 pub(crate) enum Instruction {
-    /// Send the request there.
+    /// Send the request to this destination.
     Send(Destination),
-    /// This is the final answer.
+    /// Answer the caller with this refusal.
     Refuse(Refusal),
-    /// Give the attempt up.
+    /// Cancel the attempt.
     Cancel,
 }
 
-/// A request that is here now.
+/// A request without a final answer.
 #[derive(Debug)]
-pub(crate) struct Present {
+pub(crate) struct ActiveRequest {
     pub(crate) pool: PoolKey,
     pub(crate) instructions: Sender<Instruction>,
-    pub(crate) at: Option<DestinationName>,
-    /// Whether its stream gives events.
+    pub(crate) destination: Option<DestinationName>,
+    /// Whether its stream has produced an event.
     pub(crate) streaming: bool,
-    /// Whether it may be sent again after it may have run.
+    /// Whether the request may be sent again after it may have run.
     pub(crate) may_repeat: bool,
 }
 
-/// Everything that decisions about requests read and change.
+/// The state on which dispatch decisions are based.
 #[derive(Debug)]
 pub(crate) struct DispatchState {
     pub(crate) routes: Option<Arc<RouteTable>>,
-    pub(crate) routables: Arc<[Destination]>,
+    pub(crate) destinations: Arc<[Destination]>,
     pub(crate) addresses: Vec<SocketAddr>,
     pub(crate) ready: bool,
     pub(crate) cut_off_until: Option<TimeMs>,
     pub(crate) leaving_since: Option<TimeMs>,
-    pub(crate) progress: StandstillWatch<DestinationName>,
-    pub(crate) present: Map<Ticket, Present>,
+    pub(crate) stall_detector: StandstillWatch<DestinationName>,
+    pub(crate) active_requests: Map<Ticket, ActiveRequest>,
     pools: Map<PoolKey, Pool>,
-    sharers: u32,
+    senders: u32,
     next_ticket: Ticket,
     seed: u64,
-    retry_earned: f64,
-    retry_extra: f64,
+    retry_earned_per_arrival: f64,
+    retry_saved_max: f64,
 }
 
 impl DispatchState {
-    /// Knows nothing yet; repeated sends are limited for all nodes together.
-    pub(crate) fn new(seed: u64, retry_earned: f64, retry_extra: f64) -> Self {
+    /// Creates an empty state; the retry limits apply to all nodes together.
+    pub(crate) fn new(seed: u64, retry_earned_per_arrival: f64, retry_saved_max: f64) -> Self {
         Self {
             routes: None,
-            routables: Arc::default(),
+            destinations: Arc::default(),
             addresses: Vec::new(),
             ready: false,
             cut_off_until: None,
             leaving_since: None,
-            progress: StandstillWatch::new(),
-            present: Map::default(),
+            stall_detector: StandstillWatch::new(),
+            active_requests: Map::default(),
             pools: Map::default(),
-            sharers: 1,
+            senders: 1,
             next_ticket: Ticket::default(),
             seed,
-            retry_earned,
-            retry_extra,
+            retry_earned_per_arrival,
+            retry_saved_max,
         }
     }
 
-    /// Lets a request in: the policy decides where and when it goes.
-    pub(crate) fn enter(
+    /// Registers a request and lets the policy dispatch or queue it.
+    pub(crate) fn register(
         &mut self,
         now: TimeMs,
-        ask: &CallerRequest,
+        request: &CallerRequest,
         instructions: Sender<Instruction>,
     ) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket = ticket.next();
-        let key = PoolKey { service: ask.service.clone(), model: ask.model.clone() };
-        let present = Present {
+        let key = PoolKey { service: request.service.clone(), model: request.model.clone() };
+        let active = ActiveRequest {
             pool: key.clone(),
             instructions,
-            at: None,
+            destination: None,
             streaming: false,
-            may_repeat: ask.may_repeat(),
+            may_repeat: request.may_repeat(),
         };
-        self.present.insert(ticket, present);
+        self.active_requests.insert(ticket, active);
         let mut out = Vec::new();
-        if let Some(pool) = self.pool(now, &key) {
-            let head = ask.head(now, pool.tokens_per_event);
+        if let Some(pool) = self.pool_or_insert(now, &key) {
+            let head = request.head(now, pool.tokens_per_event);
             pool.arrived(now, ticket, &head, &mut out);
         }
-        self.carry_out(&key, out);
+        self.execute(&key, out);
         ticket
     }
 
-    /// Hands an event about a present request to its pool, and carries out what follows.
-    pub(crate) fn tell(
+    /// Sends an event about an active request to its pool, and executes the resulting decisions.
+    pub(crate) fn notify_pool(
         &mut self,
         ticket: Ticket,
         event: impl FnOnce(&mut Pool, &mut Vec<Decision>),
     ) {
-        let Some(present) = self.present.get(&ticket) else { return };
-        let key = present.pool.clone();
+        let Some(active) = self.active_requests.get(&ticket) else { return };
+        let key = active.pool.clone();
         let mut out = Vec::new();
         if let Some(pool) = self.pools.get_mut(&key) {
             event(pool, &mut out);
         }
-        self.carry_out(&key, out);
+        self.execute(&key, out);
     }
 
-    /// Forgets a request that is over; the policy has been told.
-    pub(crate) fn leave(&mut self, ticket: Ticket) {
-        if let Some(Present { at: Some(name), streaming: true, .. }) = self.present.remove(&ticket)
+    /// Removes a completed request that the policy no longer tracks.
+    pub(crate) fn remove(&mut self, ticket: Ticket) {
+        if let Some(ActiveRequest { destination: Some(name), streaming: true, .. }) =
+            self.active_requests.remove(&ticket)
         {
-            self.progress.ended(&name);
+            self.stall_detector.ended(&name);
         }
     }
 
-    /// Takes over what requests may be sent to.
-    pub(crate) fn set_routables(&mut self, now: TimeMs, routables: Arc<[Destination]>) {
-        if !Arc::ptr_eq(&self.routables, &routables) {
-            self.routables = routables;
-            self.refresh(now);
+    /// Sets the destinations for requests.
+    pub(crate) fn set_destinations(&mut self, now: TimeMs, destinations: Arc<[Destination]>) {
+        if !Arc::ptr_eq(&self.destinations, &destinations) {
+            self.destinations = destinations;
+            self.refresh_targets(now);
         }
     }
 
-    /// Takes over how many nodes send to the same targets.
-    pub(crate) fn set_sharers(&mut self, now: TimeMs, sharers: u32) {
-        if sharers == self.sharers {
+    /// Sets the number of nodes that send to the same targets.
+    pub(crate) fn set_senders(&mut self, now: TimeMs, senders: u32) {
+        if senders == self.senders {
             return;
         }
-        self.sharers = sharers;
-        let retries = self.retries();
+        self.senders = senders;
+        let retries = self.retry_limits();
         for key in self.pools.keys().cloned().collect::<Vec<_>>() {
             let mut out = Vec::new();
             if let Some(pool) = self.pools.get_mut(&key) {
-                pool.set_sharers(now, sharers, retries, &mut out);
+                pool.set_senders(now, senders, retries, &mut out);
             }
-            self.carry_out(&key, out);
+            self.execute(&key, out);
         }
     }
 
-    /// Lets time pass: queues, timeouts of the policy, replicas that stand still.
+    /// Processes timers that are due; returns the destinations that have stalled.
     pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<DestinationName> {
-        let still = self.progress.still(now);
-        for name in &still {
-            self.move_off(name);
+        let stalled = self.stall_detector.still(now);
+        for name in &stalled {
+            self.cancel_repeatable(name);
         }
-        if self.progress.take_changed() {
-            self.refresh(now);
+        if self.stall_detector.take_changed() {
+            self.refresh_targets(now);
         }
         let due = self.pools.iter().filter(|(_, pool)| pool.is_due(now));
         for key in due.map(|(key, _)| key.clone()).collect::<Vec<_>>() {
@@ -168,77 +169,78 @@
             if let Some(pool) = self.pools.get_mut(&key) {
                 pool.tick(now, &mut out);
             }
-            self.carry_out(&key, out);
+            self.execute(&key, out);
         }
-        still
+        stalled
     }
 
-    /// Stops sending to a replica for a while, and moves what is there.
+    /// Suspects a destination temporarily and cancels the repeatable requests there.
     pub(crate) fn suspect(&mut self, now: TimeMs, name: &DestinationName) {
-        if !self.progress.is_suspected(now, name) {
-            self.progress.suspect(now, name);
-            self.move_off(name);
-            self.refresh(now);
+        if !self.stall_detector.is_suspected(now, name) {
+            self.stall_detector.suspect(now, name);
+            self.cancel_repeatable(name);
+            self.refresh_targets(now);
         }
     }
 
-    /// Stops sending to a replica for a while; what it has goes on.
-    pub(crate) fn keep_away(&mut self, now: TimeMs, name: &DestinationName) {
-        self.progress.suspect(now, name);
-        self.refresh(now);
+    /// Suspects a destination temporarily without cancelling the requests there.
+    pub(crate) fn exclude(&mut self, now: TimeMs, name: &DestinationName) {
+        self.stall_detector.suspect(now, name);
+        self.refresh_targets(now);
     }
 
-    /// Work that callers have offered for each model since the last time.
-    pub(crate) fn take_offered(&mut self) -> Vec<OfferedLoad> {
+    /// Returns the load that callers have offered for each model since the last call.
+    pub(crate) fn take_offered_load(&mut self) -> Vec<OfferedLoad> {
         let pools = self.pools.iter_mut();
         let offered = pools.filter_map(|(key, pool)| {
             let model = key.model.clone()?;
-            Some(OfferedLoad { model, slot_ms: pool.take_offered_ms() })
+            Some(OfferedLoad { model, slot_ms: pool.take_offered_slot_ms() })
         });
         offered.filter(|offered| offered.slot_ms > 0.0).collect()
     }
 
-    /// Requests that wait for a target.
+    /// Returns the number of requests that wait for a target.
     pub(crate) fn queued(&self) -> usize {
         self.pools.values().map(Pool::queued).sum()
     }
 
-    /// Cancels what may be sent again and is at a replica that stands still.
+    /// Cancels repeatable requests at a replica.
     ///
-    /// Load: a replica that lost a member while its head takes requests for seconds more. Harm:
-    /// everything there waits until callers give up. Limit: only what may run twice is moved.
-    fn move_off(&self, name: &DestinationName) {
-        let there = self.present.values().filter(|present| present.at.as_ref() == Some(name));
-        for present in there.filter(|present| present.may_repeat) {
-            // A full channel means that an instruction is on its way already.
-            present.instructions.try_send(Instruction::Cancel).unwrap_or_default();
+    /// The head of a replica that lost a member may accept requests for seconds before it notices.
+    fn cancel_repeatable(&self, name: &DestinationName) {
+        let at_replica = self
+            .active_requests
+            .values()
+            .filter(|active| active.destination.as_ref() == Some(name));
+        for active in at_replica.filter(|active| active.may_repeat) {
+            // If the channel is full, an instruction is already pending.
+            active.instructions.try_send(Instruction::Cancel).unwrap_or_default();
         }
     }
 
-    /// Gives each pool the targets that are up and not suspected.
-    fn refresh(&mut self, now: TimeMs) {
+    /// Gives each pool the destinations that are not suspected.
+    fn refresh_targets(&mut self, now: TimeMs) {
         for key in self.pools.keys().cloned().collect::<Vec<_>>() {
-            let fit = self.routables_of(now, &key);
+            let eligible = self.eligible_destinations(now, &key);
             let mut out = Vec::new();
             if let Some(pool) = self.pools.get_mut(&key) {
-                pool.set_targets(now, &fit, &mut out);
+                pool.set_targets(now, &eligible, &mut out);
             }
-            self.carry_out(&key, out);
+            self.execute(&key, out);
         }
     }
 
-    fn routables_of(&self, now: TimeMs, key: &PoolKey) -> Vec<Destination> {
-        let of_pool = self
-            .routables
-            .iter()
-            .filter(|routable| routable.service == key.service && routable.model == key.model);
+    fn eligible_destinations(&self, now: TimeMs, key: &PoolKey) -> Vec<Destination> {
+        let of_pool = self.destinations.iter().filter(|destination| {
+            destination.service == key.service && destination.model == key.model
+        });
         of_pool
-            .filter(|routable| !self.progress.is_suspected(now, &routable.name))
+            .filter(|destination| !self.stall_detector.is_suspected(now, &destination.name))
             .cloned()
             .collect()
     }
 
-    fn pool(&mut self, now: TimeMs, key: &PoolKey) -> Option<&mut Pool> {
+    fn pool_or_insert(&mut self, now: TimeMs, key: &PoolKey) -> Option<&mut Pool> {
         if !self.pools.contains_key(key) {
             let pool = self.new_pool(now, key);
             self.pools.insert(key.clone(), pool);
@@ -257,35 +259,35 @@
             None => RequestClass::Plain { service: key.service.clone() },
         };
         self.seed = self.seed.wrapping_add(1);
-        let mut pool = Pool::new(serves, self.seed, engine, self.retries());
+        let mut pool = Pool::new(serves, self.seed, engine, self.retry_limits());
         let mut out = Vec::new();
-        pool.set_sharers(now, self.sharers, self.retries(), &mut out);
-        pool.set_targets(now, &self.routables_of(now, key), &mut out);
+        pool.set_senders(now, self.senders, self.retry_limits(), &mut out);
+        pool.set_targets(now, &self.eligible_destinations(now, key), &mut out);
         pool
     }
 
-    /// This node's part of the repeated sends that all nodes may make together.
-    fn retries(&self) -> RetryLimits {
-        let saved_max = self.retry_extra / f64::from(self.sharers.max(1));
-        RetryLimits { earned: self.retry_earned, saved_max }
+    /// Returns this node's share of the retries allowed to all nodes.
+    fn retry_limits(&self) -> RetryLimits {
+        let saved_max = self.retry_saved_max / f64::from(self.senders.max(1));
+        RetryLimits { earned_per_arrival: self.retry_earned_per_arrival, saved_max }
     }
 
-    fn carry_out(&mut self, key: &PoolKey, decisions: Vec<Decision>) {
+    fn execute(&mut self, key: &PoolKey, decisions: Vec<Decision>) {
         for decision in decisions {
             let (ticket, instruction) = match decision {
                 Decision::Dispatch { ticket, target } => {
-                    let routable = self.pools.get(key).and_then(|pool| pool.routable(target));
-                    let Some(routable) = routable.cloned() else { continue };
-                    if let Some(present) = self.present.get_mut(&ticket) {
-                        present.at = Some(routable.name.clone());
+                    let destination = self.pools.get(key).and_then(|pool| pool.destination(target));
+                    let Some(destination) = destination.cloned() else { continue };
+                    if let Some(active) = self.active_requests.get_mut(&ticket) {
+                        active.destination = Some(destination.name.clone());
                     }
-                    (ticket, Instruction::Send(routable))
+                    (ticket, Instruction::Send(destination))
                 }
                 Decision::Refuse { ticket, refusal } => (ticket, Instruction::Refuse(refusal)),
                 Decision::Cancel { ticket } => (ticket, Instruction::Cancel),
             };
-            if let Some(present) = self.present.get(&ticket) {
-                present.instructions.try_send(instruction).unwrap_or_default();
+            if let Some(active) = self.active_requests.get(&ticket) {
+                active.instructions.try_send(instruction).unwrap_or_default();
             }
         }
     }
--- a/crates/gateway/src/traffic/dispatcher.rs
+++ b/crates/gateway/src/traffic/dispatcher.rs
@@ -15,13 +15,13 @@
 use crate::traffic::dispatch_state::{DispatchState, Instruction};
 use crate::traffic::{CallerRequest, DestinationName, TrafficReport, TrafficUpdate};
 
-/// Time between two looks at queues and at replicas that stand still.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval between two checks of queues and stalled replicas.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Ticks between two messages on the work that callers offer.
-const TICKS_PER_OFFERED: u32 = 20;
+/// Ticks between two reports of offered load.
+const TICKS_PER_LOAD_REPORT: u32 = 20;
 
-/// What every exchange of the process shares; it lives on the traffic thread.
+/// State that all exchanges of the process share, owned by the traffic thread.
 pub(crate) struct Dispatcher<A> {
     pub(crate) adapter: A,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
@@ -29,13 +29,13 @@
     pub(crate) state: RefCell<DispatchState>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) log: Logger,
-    news: Sender<TrafficReport>,
-    seen_first: Cell<bool>,
+    reports: Sender<TrafficReport>,
+    first_request_seen: Cell<bool>,
     ticks: Cell<u32>,
 }
 
 impl<A: Adapter> Dispatcher<A> {
-    /// Knows nothing yet and takes no requests.
+    /// Creates a dispatcher without destinations.
     pub(crate) fn new(
         adapter: A,
         executor: Rc<LocalExecutor<'static>>,
@@ -43,18 +43,29 @@
         state: DispatchState,
         metrics: GatewayMetrics,
         log: Logger,
-        news: Sender<TrafficReport>,
+        reports: Sender<TrafficReport>,
     ) -> Rc<Self> {
-        let (state, seen_first, ticks) = (RefCell::new(state), Cell::new(false), Cell::new(0));
-        Rc::new(Self { adapter, executor, channels, state, metrics, log, news, seen_first, ticks })
-    }
-
-    /// The time now.
+        let (state, first_request_seen, ticks) =
+            (RefCell::new(state), Cell::new(false), Cell::new(0));
+        Rc::new(Self {
+            adapter,
+            executor,
+            channels,
+            state,
+            metrics,
+            log,
+            reports,
+            first_request_seen,
+            ticks,
+        })
+    }
+
+    /// Returns the current time.
     pub(crate) fn now(&self) -> TimeMs {
         BootClock.now()
     }
 
-    /// Takes over what the control thread publishes, for ever.
+    /// Applies updates of the control thread until the process ends.
     pub(crate) async fn apply_updates(self: Rc<Self>, updates: Receiver<TrafficUpdate>) {
         while let Ok(mut update) = updates.recv().await {
             while let Ok(newer) = updates.try_recv() {
@@ -66,117 +77,119 @@
             state.addresses = update.addresses;
             state.ready = update.ready;
             state.cut_off_until = update.cut_off_until;
-            state.set_sharers(now, update.senders);
-            state.set_routables(now, update.destinations);
+            state.set_senders(now, update.senders);
+            state.set_destinations(now, update.destinations);
         }
     }
 
-    /// Lets time pass, for ever.
+    /// Processes timers that are due until the process ends.
     pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
-            smol::Timer::after(TICK).await;
-            let still = self.state.borrow_mut().tick(self.now());
-            for name in still {
-                self.suspected(&name, "streams stand still");
+            smol::Timer::after(TICK_INTERVAL).await;
+            let stalled = self.state.borrow_mut().tick(self.now());
+            for name in stalled {
+                self.suspect_replica(&name, "streams stand still");
             }
             self.metrics.queued.set(self.state.borrow().queued() as i64);
-            self.notify_offered();
+            self.report_offered_load();
         }
     }
 
-    fn notify_offered(&self) {
+    fn report_offered_load(&self) {
         self.ticks.set(self.ticks.get().wrapping_add(1));
-        if !self.ticks.get().is_multiple_of(TICKS_PER_OFFERED) {
+        if !self.ticks.get().is_multiple_of(TICKS_PER_LOAD_REPORT) {
             return;
         }
-        let offered = self.state.borrow_mut().take_offered();
+        let offered = self.state.borrow_mut().take_offered_load();
         if !offered.is_empty() {
             self.notify_control(TrafficReport::Offered(offered));
         }
     }
 
-    /// Lets a request in; the receiver says where it goes.
-    pub(crate) fn enter(&self, ask: &CallerRequest) -> (Ticket, Receiver<Instruction>) {
-        if !self.seen_first.replace(true) {
+    /// Registers a request; the receiver yields the instructions for it.
+    pub(crate) fn register(&self, request: &CallerRequest) -> (Ticket, Receiver<Instruction>) {
+        if !self.first_request_seen.replace(true) {
             self.notify_control(TrafficReport::FirstRequest);
         }
-        // Room for a cancel and for what follows it.
+        // Capacity for a cancellation and the instruction that follows it.
         let (sender, instructions) = async_channel::bounded(4);
-        let ticket = self.state.borrow_mut().enter(self.now(), ask, sender);
+        let ticket = self.state.borrow_mut().register(self.now(), request, sender);
         (ticket, instructions)
     }
 
-    /// A stream has given its first event, or a plain answer its head.
+    /// Records the first event of a stream, or the head of a plain answer.
     pub(crate) fn started(&self, ticket: Ticket, is_stream: bool) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        if let Some(present) = state.present.get_mut(&ticket)
+        if let Some(active) = state.active_requests.get_mut(&ticket)
             && is_stream
-            && !present.streaming
-            && let Some(name) = &present.at
+            && !active.streaming
+            && let Some(name) = &active.destination
         {
-            present.streaming = true;
-            state.progress.begun(now, name);
+            active.streaming = true;
+            state.stall_detector.begun(now, name);
         }
-        state.tell(ticket, |pool, out| pool.started(now, ticket, out));
+        state.notify_pool(ticket, |pool, out| pool.started(now, ticket, out));
     }
 
-    /// An event of a stream has come.
+    /// Records that a stream of the destination has produced an event.
     pub(crate) fn progressed(&self, name: &DestinationName) {
         let now = self.now();
-        self.state.borrow_mut().progress.event(now, name);
+        self.state.borrow_mut().stall_detector.event(now, name);
     }
 
-    /// A target has told its load.
-    pub(crate) fn reported(&self, ticket: Ticket, name: &DestinationName, load: ReportedLoad) {
+    /// Records the load that a target has reported.
+    pub(crate) fn load_reported(&self, ticket: Ticket, name: &DestinationName, load: ReportedLoad) {
         let now = self.now();
-        self.state.borrow_mut().tell(ticket, |pool, out| pool.reported(now, name, load, out));
+        self.state
+            .borrow_mut()
+            .notify_pool(ticket, |pool, out| pool.load_reported(now, name, load, out));
     }
 
-    /// The caller has the whole answer.
-    pub(crate) fn finished(&self, ticket: Ticket, events: u32, ask: &CallerRequest) {
+    /// Records that the caller has the complete answer.
+    pub(crate) fn completed(&self, ticket: Ticket, events: u32, request: &CallerRequest) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        state.tell(ticket, |pool, out| {
-            let allowed = ask.events_allowed(pool.tokens_per_event);
-            pool.finished(now, ticket, (events, allowed), out);
+        state.notify_pool(ticket, |pool, out| {
+            let allowed = request.events_allowed(pool.tokens_per_event);
+            pool.completed(now, ticket, (events, allowed), out);
         });
-        state.leave(ticket);
+        state.remove(ticket);
     }
 
-    /// An attempt is over without a whole answer; an instruction follows.
-    pub(crate) fn broken(&self, ticket: Ticket, verdict: Verdict) {
+    /// Records an attempt without a complete answer; an instruction follows.
+    pub(crate) fn attempt_failed(&self, ticket: Ticket, verdict: Verdict) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        if let Some(present) = state.present.get_mut(&ticket) {
-            if present.streaming
-                && let Some(name) = &present.at
+        if let Some(active) = state.active_requests.get_mut(&ticket) {
+            if active.streaming
+                && let Some(name) = &active.destination
             {
-                state.progress.ended(name);
+                state.stall_detector.ended(name);
             }
-            present.streaming = false;
-            present.at = None;
+            active.streaming = false;
+            active.destination = None;
         }
-        state.tell(ticket, |pool, out| pool.broken(now, ticket, verdict, out));
+        state.notify_pool(ticket, |pool, out| pool.attempt_failed(now, ticket, verdict, out));
     }
 
-    /// The request is over without an answer of a target.
-    pub(crate) fn gone(&self, ticket: Ticket) {
+    /// Records a request that ends without an answer from a target.
+    pub(crate) fn abandoned(&self, ticket: Ticket) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        state.tell(ticket, |pool, out| pool.gone(now, ticket, out));
-        state.leave(ticket);
+        state.notify_pool(ticket, |pool, out| pool.abandoned(now, ticket, out));
+        state.remove(ticket);
     }
 
-    /// Forgets a request that the policy has refused.
+    /// Removes a request that the policy has refused.
     pub(crate) fn refused(&self, ticket: Ticket) {
-        self.state.borrow_mut().leave(ticket);
+        self.state.borrow_mut().remove(ticket);
     }
 
-    /// Keeps requests away from what stands still, and tells the control thread.
-    pub(crate) fn suspected(&self, name: &DestinationName, why: &'static str) {
+    /// Suspects a destination, moves its repeatable requests, and reports the suspicion to control.
+    pub(crate) fn suspect_replica(&self, name: &DestinationName, why: &'static str) {
         self.state.borrow_mut().suspect(self.now(), name);
         let DestinationName::Replica(key) = name else { return };
         info!(self.log, "replica suspected";
@@ -184,20 +197,19 @@
         self.notify_control(TrafficReport::Suspected(key.clone()));
     }
 
-    /// Keeps new requests away from a replica whose head refuses them for want of a member.
+    /// Sends no new requests to a replica whose head refuses them because a member is missing.
     ///
-    /// Guards against streams broken for nothing: a head that finishes its work refuses in the same
-    /// words as one that has lost a member, and what it has goes on to its end. A head that has lost
-    /// one breaks its streams off itself.
-    pub(crate) fn refuses(&self, name: &DestinationName) {
-        self.state.borrow_mut().keep_away(self.now(), name);
+    /// A head that is closing refuses in the same way, so its running streams are left alone. A
+    /// head that has lost a member ends its streams itself.
+    pub(crate) fn avoid_replica(&self, name: &DestinationName) {
+        self.state.borrow_mut().exclude(self.now(), name);
         let DestinationName::Replica(key) = name else { return };
         info!(self.log, "replica refuses";
             "replica" => key.replica.as_str(), "generation" => key.generation.get());
     }
 
-    /// Tells the control thread; it reads faster than requests come, and a loss is only a delay.
-    pub(crate) fn notify_control(&self, news: TrafficReport) {
-        self.news.try_send(news).unwrap_or_default();
+    /// Sends a report to the control thread; a lost report only delays its reaction.
+    pub(crate) fn notify_control(&self, report: TrafficReport) {
+        self.reports.try_send(report).unwrap_or_default();
     }
 }
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -13,97 +13,98 @@
 
 use crate::adapter::Adapter;
 use crate::http::refusal_parts;
-use crate::traffic::attempt::{Attempt, AttemptEnd};
+use crate::traffic::attempt::{Attempt, AttemptOutcome};
 use crate::traffic::delivery_times::DeliveryTimes;
 use crate::traffic::dispatch_state::Instruction;
 use crate::traffic::{AnswerParts, AnswerSink, CallerRequest, Dispatcher};
 
-/// When to ask again after a target refused and no other may be tried, in milliseconds.
-///
-/// Load: one full target among some. Harm: at once, the caller meets the same full target. Limit:
-/// a few times what a lookup takes.
-const REFUSED_RETRY_MS: u64 = 200;
+/// Retry delay suggested for a request that failed without having run, in milliseconds.
+const REFUSED_RETRY_AFTER_MS: u64 = 200;
 
-/// What stops an attempt before its target does.
+/// Why an attempt was stopped before its target answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Interrupt {
-    /// The caller waits no longer.
+    /// The caller's deadline has passed.
     Deadline,
-    /// The gate wants it elsewhere.
+    /// The dispatcher cancelled the attempt.
     Cancelled,
 }
 
-/// One caller's request from its arrival to its final answer.
+/// Handles one caller request from its arrival to its final answer.
 pub(crate) struct Exchange<A: Adapter> {
-    pub(crate) gate: Rc<Dispatcher<A>>,
-    pub(crate) ask: CallerRequest,
+    pub(crate) dispatcher: Rc<Dispatcher<A>>,
+    pub(crate) request: CallerRequest,
     pub(crate) sink: AnswerSink,
     pub(crate) splitter: EventSplitter,
     pub(crate) attempts: u32,
     pub(crate) delivery: DeliveryTimes,
-    /// Where the last attempt went.
+    /// The target of the last attempt.
     target: Option<VmName>,
-    /// How the last attempt ended, if not with an answer.
-    attempt_end: Option<&'static str>,
+    /// The outcome of the last attempt, unless the target answered.
+    last_attempt_outcome: Option<&'static str>,
     pub(crate) may_have_run: bool,
-    /// A failure that a target answered, for the caller if no other attempt does better.
-    pub(crate) failure: Option<(AnswerParts, Bytes)>,
+    /// The error answer of a target, sent to the caller if no other attempt succeeds.
+    pub(crate) failed_answer: Option<(AnswerParts, Bytes)>,
     pub(crate) ticket: Ticket,
     pub(crate) instructions: Receiver<Instruction>,
-    over: bool,
+    completed: bool,
 }
 
-/// Tells the gate when a caller leaves and the exchange is dropped in the middle.
+/// Reports an exchange that is dropped because its caller disconnected.
 impl<A: Adapter> Drop for Exchange<A> {
     fn drop(&mut self) {
-        if !self.over {
-            self.gate.gone(self.ticket);
-            self.note("caller gone", 0);
+        if !self.completed {
+            self.dispatcher.abandoned(self.ticket);
+            self.log_completed("caller gone", 0);
         }
     }
 }
 
 impl<A: Adapter> Exchange<A> {
-    /// Lets a request in.
-    pub(crate) fn new(gate: Rc<Dispatcher<A>>, ask: CallerRequest, sink: AnswerSink) -> Self {
-        let (ticket, instructions) = gate.enter(&ask);
-        let splitter = EventSplitter::new(ask.caller.last_event_id.clone());
+    /// Registers a request with the dispatcher.
+    pub(crate) fn new(
+        dispatcher: Rc<Dispatcher<A>>,
+        request: CallerRequest,
+        sink: AnswerSink,
+    ) -> Self {
+        let (ticket, instructions) = dispatcher.register(&request);
+        let splitter = EventSplitter::new(request.caller.last_event_id.clone());
         Self {
-            gate,
-            ask,
+            dispatcher,
+            request,
             sink,
             splitter,
             attempts: 0,
             delivery: DeliveryTimes::default(),
             target: None,
-            attempt_end: None,
+            last_attempt_outcome: None,
             may_have_run: false,
-            failure: None,
+            failed_answer: None,
             ticket,
             instructions,
-            over: false,
+            completed: false,
         }
     }
 
-    /// Carries it through.
+    /// Sends the request to targets until the caller has a final answer.
     pub(crate) async fn run(mut self) {
         loop {
             let instruction = match self.next_instruction().await {
-                None => return self.give_up(RefusalCode::DeadlineUnreachable).await,
+                None => return self.fail(RefusalCode::DeadlineUnreachable).await,
                 Some(instruction) => instruction,
             };
             match instruction {
                 Instruction::Cancel => {}
                 Instruction::Refuse(refusal) => {
-                    self.gate.refused(self.ticket);
+                    self.dispatcher.refused(self.ticket);
                     return self.refuse(refusal).await;
                 }
-                Instruction::Send(routable) => {
+                Instruction::Send(destination) => {
                     self.attempts += 1;
-                    self.delivery.sent(self.gate.now());
-                    self.target = Some(routable.target.clone());
-                    let end = Attempt::new(&mut self, &routable).run().await;
-                    if self.settle(end).await {
+                    self.delivery.record_sent(self.dispatcher.now());
+                    self.target = Some(destination.target.clone());
+                    let outcome = Attempt::new(&mut self, &destination).run().await;
+                    if self.resolve_attempt(outcome).await {
                         return;
                     }
                 }
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Waits for a future, the caller's deadline or a cancel.
+    /// Waits for a future, the caller's deadline or a cancellation.
     pub(crate) async fn unless_interrupted<T>(
         &self,
         future: impl Future<Output = T>,
@@ -131,9 +132,9 @@
         smol::future::or(async { Ok(future.await) }, smol::future::or(cancel, deadline)).await
     }
 
-    /// Time until the caller waits no longer.
+    /// Returns the time until the caller's deadline.
     pub(crate) fn time_left(&self) -> Duration {
-        Duration::from_millis(self.ask.deadline.since(self.gate.now()))
+        Duration::from_millis(self.request.deadline.since(self.dispatcher.now()))
     }
 
     async fn next_instruction(&self) -> Option<Instruction> {
@@ -144,67 +145,66 @@
         smol::future::or(async { self.instructions.recv().await.ok() }, deadline).await
     }
 
-    /// Takes over how an attempt ended; true if the exchange is over.
-    async fn settle(&mut self, end: AttemptEnd) -> bool {
-        self.attempt_end = match end {
-            AttemptEnd::Answered => None,
-            AttemptEnd::Interrupted(Interrupt::Deadline) => Some("deadline"),
-            AttemptEnd::Interrupted(Interrupt::Cancelled) => Some("taken off its target"),
-            AttemptEnd::Broken(_) => Some("broken"),
+    /// Applies the outcome of an attempt; returns true if the exchange is complete.
+    async fn resolve_attempt(&mut self, outcome: AttemptOutcome) -> bool {
+        self.last_attempt_outcome = match outcome {
+            AttemptOutcome::Answered => None,
+            AttemptOutcome::Interrupted(Interrupt::Deadline) => Some("deadline"),
+            AttemptOutcome::Interrupted(Interrupt::Cancelled) => Some("taken off its target"),
+            AttemptOutcome::Failed(_) => Some("broken"),
         };
-        match end {
-            AttemptEnd::Answered => {
-                self.gate.finished(self.ticket, self.splitter.events(), &self.ask);
-                self.end("answered", self.splitter.events());
+        match outcome {
+            AttemptOutcome::Answered => {
+                self.dispatcher.completed(self.ticket, self.splitter.events(), &self.request);
+                self.complete("answered", self.splitter.events());
                 true
             }
-            AttemptEnd::Interrupted(Interrupt::Deadline) => {
+            AttemptOutcome::Interrupted(Interrupt::Deadline) => {
                 self.may_have_run = true;
-                self.give_up(RefusalCode::AnswerLost).await;
+                self.fail(RefusalCode::AnswerLost).await;
                 true
             }
-            AttemptEnd::Interrupted(Interrupt::Cancelled) => {
-                self.note_taken_off();
+            AttemptOutcome::Interrupted(Interrupt::Cancelled) => {
+                self.log_cancelled_attempt();
                 self.may_have_run = true;
-                self.broke(Verdict::MayHaveRun).await
+                self.retry_or_fail(Verdict::MayHaveRun).await
             }
-            AttemptEnd::Broken(verdict) => {
+            AttemptOutcome::Failed(verdict) => {
                 self.may_have_run |= verdict != Verdict::NotRun;
-                self.broke(verdict).await
+                self.retry_or_fail(verdict).await
             }
         }
     }
 
-    async fn broke(&mut self, verdict: Verdict) -> bool {
-        let may_go_on = self.ask.may_repeat() || !self.may_have_run;
-        if may_go_on && self.attempts < self.ask.route.attempts_max {
-            self.gate.broken(self.ticket, verdict);
+    async fn retry_or_fail(&mut self, verdict: Verdict) -> bool {
+        let may_retry = self.request.may_repeat() || !self.may_have_run;
+        if may_retry && self.attempts < self.request.route.attempts_max {
+            self.dispatcher.attempt_failed(self.ticket, verdict);
             return false;
         }
-        self.give_up(RefusalCode::AnswerLost).await;
+        self.fail(RefusalCode::AnswerLost).await;
         true
     }
 
     /// Ends a request that no target will answer.
-    async fn give_up(&mut self, code: RefusalCode) {
-        self.gate.gone(self.ticket);
+    async fn fail(&mut self, code: RefusalCode) {
+        self.dispatcher.abandoned(self.ticket);
         let refusal = match self.may_have_run {
             true => Refusal::may_have_run(code),
-            false => {
-                Refusal::not_run(RefusalCode::Overloaded).with_retry_after_ms(REFUSED_RETRY_MS)
-            }
+            false => Refusal::not_run(RefusalCode::Overloaded)
+                .with_retry_after_ms(REFUSED_RETRY_AFTER_MS),
         };
         self.refuse(refusal).await;
     }
 
     async fn refuse(&mut self, refusal: Refusal) {
-        if self.sink.has_begun() {
-            // The sink is dropped without an end mark, so the caller sees a broken answer.
-            return self.end("broken off", self.splitter.events());
+        if self.sink.head_sent() {
+            // Dropping the sink without an end mark makes the caller see a truncated answer.
+            return self.complete("broken off", self.splitter.events());
         }
-        if let Some((parts, body)) = self.failure.take() {
-            self.sink.begin(AnswerParts { whole: Some(body), ..parts }).await;
-            return self.end("failed by target", 0);
+        if let Some((parts, body)) = self.failed_answer.take() {
+            self.sink.send_head(AnswerParts { body: Some(body), ..parts }).await;
+            return self.complete("failed by target", 0);
         }
         let expired = self.time_left().is_zero();
         let refusal = match self.may_have_run {
@@ -217,46 +217,46 @@
             (false, _) => StatusCode::SERVICE_UNAVAILABLE,
         };
         self.sink
-            .begin(refusal_parts(status, &refusal, self.ask.caller.request_id.as_deref()))
+            .send_head(refusal_parts(status, &refusal, self.request.caller.request_id.as_deref()))
             .await;
-        self.end(if self.may_have_run { "may have run" } else { "not run" }, 0);
+        self.complete(if self.may_have_run { "may have run" } else { "not run" }, 0);
     }
 
-    /// The other ends of an attempt are noted where they are seen.
-    fn note_taken_off(&self) {
-        info!(self.gate.log, "attempt ended";
-            "request_id" => self.ask.id(),
+    /// Logs a cancelled attempt; other outcomes are logged where they occur.
+    fn log_cancelled_attempt(&self) {
+        info!(self.dispatcher.log, "attempt ended";
+            "request_id" => self.request.id(),
             "target" => self.target.as_ref().map(VmName::as_str),
             "attempt" => self.attempts,
-            "why" => self.attempt_end,
+            "why" => self.last_attempt_outcome,
         );
     }
 
-    fn end(&mut self, outcome: &'static str, events: u32) {
-        self.over = true;
-        self.note(outcome, events);
+    fn complete(&mut self, outcome: &'static str, events: u32) {
+        self.completed = true;
+        self.log_completed(outcome, events);
     }
 
-    fn note(&self, outcome: &'static str, events: u32) {
-        let now = self.gate.now();
-        self.gate.metrics.ended(outcome, now.since(self.ask.arrived_at));
-        info!(self.gate.log, "request ended";
-            "request_id" => self.ask.id(),
-            "route" => &self.ask.route.name,
-            "organisation" => self.ask.organisation.as_ref().map(celeryhaven_types::OrganisationName::as_str),
+    fn log_completed(&self, outcome: &'static str, events: u32) {
+        let now = self.dispatcher.now();
+        self.dispatcher.metrics.ended(outcome, now.since(self.request.arrived_at));
+        info!(self.dispatcher.log, "request ended";
+            "request_id" => self.request.id(),
+            "route" => &self.request.route.name,
+            "organisation" => self.request.organisation.as_ref().map(celeryhaven_types::OrganisationName::as_str),
             "outcome" => outcome,
             "attempts" => self.attempts,
             "target" => self.target.as_ref().map(VmName::as_str),
-            "attempt_end" => self.attempt_end,
-            "prompt_tokens" => self.ask.caller.prompt_tokens,
-            "output_tokens" => self.ask.caller.output_tokens_max,
+            "attempt_end" => self.last_attempt_outcome,
+            "prompt_tokens" => self.request.caller.prompt_tokens,
+            "output_tokens" => self.request.caller.output_tokens_max,
             "events" => events,
-            "waited_ms" => self.delivery.sent_at.map(|at| at.since(self.ask.arrived_at)),
-            "first_ms" => self.delivery.first_at.map(|at| at.since(self.ask.arrived_at)),
-            "objective_ms" => self.ask.route.objective_ms,
+            "waited_ms" => self.delivery.sent_at.map(|at| at.since(self.request.arrived_at)),
+            "first_ms" => self.delivery.first_at.map(|at| at.since(self.request.arrived_at)),
+            "objective_ms" => self.request.route.objective_ms,
             "longest_pause_ms" => self.delivery.longest_pause_ms,
-            "took_ms" => now.since(self.ask.arrived_at),
-            "left_ms" => self.ask.deadline.since(now),
+            "took_ms" => now.since(self.request.arrived_at),
+            "left_ms" => self.request.deadline.since(now),
         );
     }
 }
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -8,178 +8,183 @@
 use crate::adapter::{Adapter, AnswerHead};
 use crate::http::strip_hop_by_hop;
 use crate::traffic::AnswerParts;
-use crate::traffic::attempt::{Attempt, AttemptEnd};
+use crate::traffic::attempt::{Attempt, AttemptOutcome};
 
-/// Longest plain answer that is held until it is whole, in bytes.
+/// Longest plain answer that is buffered until it is complete, in bytes.
 ///
-/// A held answer that breaks off can be had from another target; a longer one is passed on as it
-/// comes. Answers of today's services are a few kilobytes.
-const HELD_BYTES_MAX: usize = 64 * 1024;
+/// A buffered answer that fails can be retried at another target; a longer one is forwarded as it
+/// arrives.
+const BUFFERED_BYTES_MAX: usize = 64 * 1024;
 
-/// What reading the next piece of an answer gave.
-enum Read {
+/// The result of reading from an answer body.
+enum ReadResult {
     Data(Bytes),
-    Whole,
-    End(AttemptEnd),
+    Complete,
+    Ended(AttemptOutcome),
 }
 
 impl<A: Adapter> Attempt<'_, A> {
-    /// Passes a target's answer on.
-    pub(crate) async fn relay(
+    /// Forwards a target's answer to the caller.
+    pub(crate) async fn forward(
         &mut self,
         channel: Channel,
         response: Response<Incoming>,
         head: AnswerHead,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let (parts, body) = response.into_parts();
         let mut headers = parts.headers;
         strip_hop_by_hop(&mut headers);
-        let parts = AnswerParts { status: parts.status, headers, whole: None };
-        let end = match parts.status.is_success() && self.exchange.ask.route.kind.is_stream() {
-            true => self.relay_events(parts, body).await,
-            false => self.relay_plain(parts, body).await,
-        };
-        if end == AttemptEnd::Answered && !head.closes {
-            self.keep_channel(channel, &head).await;
+        let parts = AnswerParts { status: parts.status, headers, body: None };
+        let outcome =
+            match parts.status.is_success() && self.exchange.request.route.kind.is_stream() {
+                true => self.forward_events(parts, body).await,
+                false => self.forward_plain(parts, body).await,
+            };
+        if outcome == AttemptOutcome::Answered && !head.closes {
+            self.pool_channel(channel, &head).await;
         }
-        end
+        outcome
     }
 
-    /// Passes whole events on, as they come.
-    async fn relay_events(&mut self, parts: AnswerParts, mut body: Incoming) -> AttemptEnd {
-        let resumes = self.exchange.ask.may_repeat();
+    /// Forwards complete events as they arrive.
+    async fn forward_events(&mut self, parts: AnswerParts, mut body: Incoming) -> AttemptOutcome {
+        let may_resume = self.exchange.request.may_repeat();
         let mut parts = Some(parts);
-        let mut started = false;
+        let mut has_started = false;
         loop {
             let bytes = match self.read(&mut body).await {
-                Read::Data(bytes) => bytes,
-                Read::Whole => return self.end_of_events(parts, resumes).await,
-                Read::End(end) => {
+                ReadResult::Data(bytes) => bytes,
+                ReadResult::Complete => return self.finish_events(parts, may_resume).await,
+                ReadResult::Ended(outcome) => {
                     self.exchange.splitter.drop_pending();
-                    return end;
+                    return outcome;
                 }
             };
-            if !started {
-                started = true;
-                self.exchange.gate.started(self.exchange.ticket, true);
+            if !has_started {
+                has_started = true;
+                self.exchange.dispatcher.started(self.exchange.ticket, true);
             }
-            self.exchange.gate.progressed(&self.routable.name);
-            let Some(whole) = self.exchange.splitter.push(&bytes) else {
+            self.exchange.dispatcher.progressed(&self.destination.name);
+            let Some(events) = self.exchange.splitter.push(&bytes) else {
                 if self.exchange.splitter.is_too_long() {
-                    return AttemptEnd::Broken(Verdict::MayHaveRun);
+                    return AttemptOutcome::Failed(Verdict::MayHaveRun);
                 }
                 continue;
             };
-            self.begin(&mut parts).await;
-            self.exchange.delivery.piece(self.exchange.gate.now());
-            self.exchange.sink.piece(whole).await;
+            self.send_head(&mut parts).await;
+            self.exchange.delivery.record_chunk(self.exchange.dispatcher.now());
+            self.exchange.sink.send_chunk(events).await;
         }
     }
 
-    /// The target has ended its stream as complete.
-    async fn end_of_events(&mut self, mut parts: Option<AnswerParts>, resumes: bool) -> AttemptEnd {
-        if self.exchange.splitter.is_inside_event() && resumes {
+    /// Completes the answer after the target has ended its stream.
+    async fn finish_events(
+        &mut self,
+        mut parts: Option<AnswerParts>,
+        may_resume: bool,
+    ) -> AttemptOutcome {
+        if self.exchange.splitter.is_inside_event() && may_resume {
             self.exchange.splitter.drop_pending();
-            return AttemptEnd::Broken(Verdict::MayHaveRun);
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
         }
-        self.begin(&mut parts).await;
+        self.send_head(&mut parts).await;
         let rest = self.exchange.splitter.take_pending();
         if !rest.is_empty() {
-            self.exchange.sink.piece(rest).await;
+            self.exchange.sink.send_chunk(rest).await;
         }
-        self.exchange.sink.end().await;
-        AttemptEnd::Answered
+        self.exchange.sink.finish().await;
+        AttemptOutcome::Answered
     }
 
-    /// Gives the caller the head, unless an earlier attempt has.
-    async fn begin(&mut self, parts: &mut Option<AnswerParts>) {
+    /// Sends the head to the caller, unless an earlier attempt has.
+    async fn send_head(&mut self, parts: &mut Option<AnswerParts>) {
         if let Some(parts) = parts.take()
-            && !self.exchange.sink.has_begun()
+            && !self.exchange.sink.head_sent()
         {
-            self.exchange.sink.begin(parts).await;
+            self.exchange.sink.send_head(parts).await;
         }
     }
 
-    /// Holds a plain answer until it is whole, or too long to be held.
-    async fn relay_plain(&mut self, parts: AnswerParts, mut body: Incoming) -> AttemptEnd {
-        let mut held = BytesMut::new();
+    /// Buffers a plain answer until it is complete or exceeds the limit.
+    async fn forward_plain(&mut self, parts: AnswerParts, mut body: Incoming) -> AttemptOutcome {
+        let mut buffered = BytesMut::new();
         loop {
             match self.read(&mut body).await {
-                Read::End(end) => return end,
-                Read::Whole => break,
-                Read::Data(bytes) => held.extend_from_slice(&bytes),
+                ReadResult::Ended(outcome) => return outcome,
+                ReadResult::Complete => break,
+                ReadResult::Data(bytes) => buffered.extend_from_slice(&bytes),
             }
-            if held.len() > HELD_BYTES_MAX {
-                return self.relay_long(parts, held.freeze(), body).await;
+            if buffered.len() > BUFFERED_BYTES_MAX {
+                return self.forward_unbuffered(parts, buffered.freeze(), body).await;
             }
         }
-        self.exchange.gate.started(self.exchange.ticket, false);
-        let body = held.freeze();
-        if self.exchange.sink.has_begun() {
-            // A resumed stream got a failure: nothing of it belongs to the caller's answer.
-            return AttemptEnd::Broken(Verdict::MayHaveRun);
+        self.exchange.dispatcher.started(self.exchange.ticket, false);
+        let body = buffered.freeze();
+        if self.exchange.sink.head_sent() {
+            // A resumed stream got an error answer, which does not belong in the caller's stream.
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
         }
-        if parts.status.is_server_error() && self.exchange.ask.may_repeat() {
-            self.note("failed by target", parts.status.as_u16());
-            self.exchange.failure = Some((parts, body));
-            return AttemptEnd::Broken(Verdict::MayHaveRun);
+        if parts.status.is_server_error() && self.exchange.request.may_repeat() {
+            self.log_end("failed by target", parts.status.as_u16());
+            self.exchange.failed_answer = Some((parts, body));
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
         }
-        self.exchange.delivery.piece(self.exchange.gate.now());
-        self.exchange.sink.begin(AnswerParts { whole: Some(body), ..parts }).await;
-        AttemptEnd::Answered
+        self.exchange.delivery.record_chunk(self.exchange.dispatcher.now());
+        self.exchange.sink.send_head(AnswerParts { body: Some(body), ..parts }).await;
+        AttemptOutcome::Answered
     }
 
-    async fn relay_long(
+    async fn forward_unbuffered(
         &mut self,
         parts: AnswerParts,
-        held: Bytes,
+        buffered: Bytes,
         mut body: Incoming,
-    ) -> AttemptEnd {
-        if self.exchange.sink.has_begun() {
-            return AttemptEnd::Broken(Verdict::MayHaveRun);
+    ) -> AttemptOutcome {
+        if self.exchange.sink.head_sent() {
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
         }
-        self.exchange.gate.started(self.exchange.ticket, false);
-        self.exchange.sink.begin(parts).await;
-        self.exchange.sink.piece(held).await;
+        self.exchange.dispatcher.started(self.exchange.ticket, false);
+        self.exchange.sink.send_head(parts).await;
+        self.exchange.sink.send_chunk(buffered).await;
         loop {
             match self.read(&mut body).await {
-                Read::Data(bytes) => self.exchange.sink.piece(bytes).await,
-                Read::Whole => {
-                    self.exchange.sink.end().await;
-                    return AttemptEnd::Answered;
+                ReadResult::Data(bytes) => self.exchange.sink.send_chunk(bytes).await,
+                ReadResult::Complete => {
+                    self.exchange.sink.finish().await;
+                    return AttemptOutcome::Answered;
                 }
-                // Part of it is out, so no other attempt can answer.
-                Read::End(_) => {
-                    self.exchange.attempts = self.exchange.ask.route.attempts_max;
-                    return AttemptEnd::Broken(Verdict::MayHaveRun);
+                // The caller has part of the answer, so another attempt cannot replace it.
+                ReadResult::Ended(_) => {
+                    self.exchange.attempts = self.exchange.request.route.attempts_max;
+                    return AttemptOutcome::Failed(Verdict::MayHaveRun);
                 }
             }
         }
     }
 
-    async fn read(&self, body: &mut Incoming) -> Read {
+    async fn read(&self, body: &mut Incoming) -> ReadResult {
         loop {
             match self.exchange.unless_interrupted(body.frame()).await {
-                Err(interrupt) => return Read::End(AttemptEnd::Interrupted(interrupt)),
-                Ok(None) => return Read::Whole,
+                Err(interrupt) => return ReadResult::Ended(AttemptOutcome::Interrupted(interrupt)),
+                Ok(None) => return ReadResult::Complete,
                 Ok(Some(Err(_))) => {
-                    self.note("answer broke off", StatusCode::OK.as_u16());
-                    return Read::End(AttemptEnd::Broken(Verdict::MayHaveRun));
+                    self.log_end("answer broke off", StatusCode::OK.as_u16());
+                    return ReadResult::Ended(AttemptOutcome::Failed(Verdict::MayHaveRun));
                 }
                 Ok(Some(Ok(frame))) => {
                     if let Ok(bytes) = frame.into_data() {
-                        return Read::Data(bytes);
+                        return ReadResult::Data(bytes);
                     }
                 }
             }
         }
     }
 
-    /// Keeps the channel for the next request, once its exchange is over.
-    async fn keep_channel(&self, mut channel: Channel, head: &AnswerHead) {
+    /// Returns the connection to the pool once its exchange is complete.
+    async fn pool_channel(&self, mut channel: Channel, head: &AnswerHead) {
         if channel.settle().await {
-            let channels = &self.exchange.gate.channels;
-            channels.put(self.routable.address, channel, Self::keep(head));
+            let channels = &self.exchange.dispatcher.channels;
+            channels.put(self.destination.address, channel, Self::idle_timeout(head));
         }
     }
 }
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! Requests: admission, attempts, streams, cancels.
+//! Request traffic: admission, attempts, streams and cancellation.
 
 mod attempt;
 mod body;
@@ -17,5 +17,5 @@
 pub(crate) use dispatch_state::DispatchState;
 pub(crate) use dispatcher::Dispatcher;
 pub(crate) use exchange::Exchange;
-pub(crate) use sink::{AnswerParts, AnswerSink, sink};
+pub(crate) use sink::{AnswerParts, AnswerSink, answer_sink};
 pub(crate) use update::{Destination, DestinationName, OfferedLoad, TrafficReport, TrafficUpdate};
--- a/crates/gateway/src/traffic/pool.rs
+++ b/crates/gateway/src/traffic/pool.rs
@@ -8,99 +8,97 @@
 use crate::adapter::ReportedLoad;
 use crate::traffic::{Destination, DestinationName};
 
-/// Time that a plain answer is supposed to take until some were seen, in milliseconds.
-const PLAIN_MS: f64 = 40.0;
+/// Initial estimate of the time for a plain answer, in milliseconds.
+const INITIAL_PLAIN_ANSWER_MS: f64 = 40.0;
 
-/// Part of a replica's slots that is supposed to be taken until some answers were seen.
-const SUPPOSED_FILL: f64 = 0.5;
+/// Assumed fraction of a replica's slots in use, for initial estimates.
+const ASSUMED_BATCH_FILL: f64 = 0.5;
 
-/// Part of the allowed output that answers are supposed to hold until some were seen.
-const SUPPOSED_OUTPUT: f64 = 0.5;
+/// Assumed fraction of the allowed output that answers hold, until the first answer.
+const ASSUMED_OUTPUT_FRACTION: f64 = 0.5;
 
-/// Weight that an answer keeps with each one after it.
-const OUTPUT_MEMORY: f64 = 0.98;
+/// Decay factor applied to earlier answers with each new one.
+const OUTPUT_DECAY: f64 = 0.98;
 
-/// Decode steps until a first token comes, until some answers were seen.
-const FIRST_TOKEN_STEPS: f64 = 4.0;
+/// Initial estimate of the time to the first token, in decode steps.
+const INITIAL_FIRST_TOKEN_STEPS: f64 = 4.0;
 
-/// The policy's supposed age of a load that came with an answer, in milliseconds.
-const LOAD_AGE_MS: u64 = 1;
+/// Assumed age of a load report that came with an answer, in milliseconds.
+const REPORTED_LOAD_AGE_MS: u64 = 1;
 
-/// Slots of a target for each node from which fixed parts are shared out.
+/// Slots of the largest target for each sending node, below which all slots are pooled.
 ///
-/// Load: many nodes before targets with few slots. Harm: with less than two slots each, a node
-/// refuses while the parts of others stand idle; a fifth of the plain requests of a calm day was
-/// refused by 63 nodes before targets of six slots. Below it, each node has a part of all targets'
-/// slots together.
+/// With fewer than two slots each, a node would refuse requests while slots of other nodes are
+/// free.
 const SLOTS_PER_NODE_MIN: u32 = 2;
 
-/// Targets that serve the same requests, and the policy that decides among them.
+/// Destinations that serve the same requests, and the policy that chooses among them.
 #[derive(Debug)]
 pub(crate) struct Pool {
     serves: RequestClass,
     policy: FairPolicy,
-    keys: Map<DestinationName, TargetKey>,
-    routables: Map<TargetKey, Destination>,
+    target_keys: Map<DestinationName, TargetKey>,
+    destinations: Map<TargetKey, Destination>,
     next_key: TargetKey,
-    /// Everything that takes its requests, of which this node may use a subset.
-    routables_all: Vec<Destination>,
+    /// All eligible destinations, of which this node may use a subset.
+    all_destinations: Vec<Destination>,
     subset: TargetSubset,
-    sharers: u32,
+    senders: u32,
     /// Tokens that one event of a stream holds.
     pub(crate) tokens_per_event: u32,
-    /// Times of one request, by which offered work is reckoned.
-    work: WorkTimes,
-    output: OutputPart,
-    /// Work that has arrived since it was taken last, in milliseconds of a slot.
-    offered_ms: f64,
+    /// Estimated times of a request, used for the offered load.
+    request_times: RequestTimes,
+    output: OutputFraction,
+    /// Load that has arrived since it was last taken, in slot milliseconds.
+    offered_slot_ms: f64,
 }
 
-/// What a request of a pool takes, in milliseconds, whatever the load.
+/// Service times of a request at any load, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct WorkTimes {
+struct RequestTimes {
     prompt_token_ms: f64,
     event_ms: f64,
 }
 
-/// What answers hold of the output that their callers allow, the recent ones weighing most.
+/// Ratio of produced to allowed output, weighted towards recent answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct OutputPart {
+struct OutputFraction {
     events: f64,
     events_allowed: f64,
 }
 
-impl WorkTimes {
-    fn request_ms(&self, head: &RequestHead, output: OutputPart) -> f64 {
+impl RequestTimes {
+    fn request_ms(&self, head: &RequestHead, output: OutputFraction) -> f64 {
         f64::from(head.prompt_tokens) * self.prompt_token_ms
-            + f64::from(head.output_tokens_max) * output.part() * self.event_ms
+            + f64::from(head.output_tokens_max) * output.value() * self.event_ms
     }
 }
 
-impl OutputPart {
-    fn learn(&mut self, events: u32, allowed: u32) {
-        self.events = self.events * OUTPUT_MEMORY + f64::from(events);
-        self.events_allowed = self.events_allowed * OUTPUT_MEMORY + f64::from(allowed);
+impl OutputFraction {
+    fn record(&mut self, events: u32, allowed: u32) {
+        self.events = self.events * OUTPUT_DECAY + f64::from(events);
+        self.events_allowed = self.events_allowed * OUTPUT_DECAY + f64::from(allowed);
     }
 
-    fn part(self) -> f64 {
+    fn value(self) -> f64 {
         match self.events_allowed > 0.0 {
             true => self.events / self.events_allowed,
-            false => SUPPOSED_OUTPUT,
+            false => ASSUMED_OUTPUT_FRACTION,
         }
     }
 }
 
-/// Limits of a pool's repeated sends.
+/// Retry limits of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryLimits {
-    /// Earned by each arrival.
-    pub(crate) earned: f64,
-    /// Saved up at most.
+    /// Retries earned by each arrival.
+    pub(crate) earned_per_arrival: f64,
+    /// Maximum number of saved retries.
     pub(crate) saved_max: f64,
 }
 
 impl Pool {
-    /// A pool without targets; times are supposed from the engines' profile.
+    /// Creates a pool without destinations; the engine profile gives the initial estimates.
     pub(crate) fn new(
         serves: RequestClass,
         seed: u64,
@@ -112,115 +110,118 @@
             .with_eject_silent(false)
             .with_cancel_late_rest(false)
             .with_cost_margin(0.0)
-            .with_retries(retries.earned, retries.saved_max, true);
-        let mut work = WorkTimes::default();
+            .with_retries(retries.earned_per_arrival, retries.saved_max, true);
+        let mut request_times = RequestTimes::default();
         let settings = match engine {
-            None => settings.with_times(PLAIN_MS, 0.0, 0.0),
+            None => settings.with_times(INITIAL_PLAIN_ANSWER_MS, 0.0, 0.0),
             Some((engine, model)) => {
-                let batch = f64::from(engine.slots) * SUPPOSED_FILL;
+                let batch = f64::from(engine.slots) * ASSUMED_BATCH_FILL;
                 let token_ms = engine.token_ms(model, batch);
                 let prefill_ms = model.pace / engine.prefill_tokens_per_ms.max(f64::EPSILON);
                 let event_ms = token_ms * f64::from(tokens_per_event);
-                work = WorkTimes { prompt_token_ms: prefill_ms, event_ms };
-                settings.with_times(token_ms * FIRST_TOKEN_STEPS, prefill_ms, event_ms)
+                request_times = RequestTimes { prompt_token_ms: prefill_ms, event_ms };
+                settings.with_times(token_ms * INITIAL_FIRST_TOKEN_STEPS, prefill_ms, event_ms)
             }
         };
         Self {
             serves,
             policy: FairPolicy::new(settings),
-            keys: Map::default(),
-            routables: Map::default(),
+            target_keys: Map::default(),
+            destinations: Map::default(),
             next_key: TargetKey::default(),
-            routables_all: Vec::new(),
+            all_destinations: Vec::new(),
             subset: TargetSubset::new(seed),
-            sharers: 1,
+            senders: 1,
             tokens_per_event,
-            work,
-            output: OutputPart::default(),
-            offered_ms: 0.0,
+            request_times,
+            output: OutputFraction::default(),
+            offered_slot_ms: 0.0,
         }
     }
 
-    /// Work that has arrived since the last time, in milliseconds of a slot.
-    pub(crate) fn take_offered_ms(&mut self) -> f64 {
-        std::mem::take(&mut self.offered_ms)
+    /// Returns and clears the load that has arrived, in slot milliseconds.
+    pub(crate) fn take_offered_slot_ms(&mut self) -> f64 {
+        std::mem::take(&mut self.offered_slot_ms)
     }
 
-    /// The routable that a key stands for.
-    pub(crate) fn routable(&self, key: TargetKey) -> Option<&Destination> {
-        self.routables.get(&key)
+    /// Returns the destination with this key.
+    pub(crate) fn destination(&self, key: TargetKey) -> Option<&Destination> {
+        self.destinations.get(&key)
     }
 
-    /// Takes requests to these and no others from now on.
+    /// Replaces the eligible destinations.
     pub(crate) fn set_targets(
         &mut self,
         now: TimeMs,
-        routables: &[Destination],
+        destinations: &[Destination],
         out: &mut Vec<Decision>,
     ) {
-        self.routables_all = routables.to_vec();
-        self.use_targets(now, out);
+        self.all_destinations = destinations.to_vec();
+        self.update_targets(now, out);
     }
 
-    /// Sends to what this node is to use of all, and tells the policy how many nodes do.
-    fn use_targets(&mut self, now: TimeMs, out: &mut Vec<Decision>) {
-        let all = std::mem::take(&mut self.routables_all);
+    /// Chooses this node's subset, and notifies the policy of added and removed targets.
+    fn update_targets(&mut self, now: TimeMs, out: &mut Vec<Decision>) {
+        let all = std::mem::take(&mut self.all_destinations);
         let sharing = self.sharing(&all);
-        let used: Vec<&Destination> = match sharing {
-            Sharing::Pooled => self.subset.choose(&all, |routable| routable.name.as_str()),
+        let selected: Vec<&Destination> = match sharing {
+            Sharing::Pooled => self.subset.choose(&all, |destination| destination.name.as_str()),
             _ => all.iter().collect(),
         };
-        let sharers = TargetSubset::sharers(self.sharers, used.len(), all.len());
+        let senders = TargetSubset::sharers(self.senders, selected.len(), all.len());
         self.policy.set_sharing(sharing);
-        self.policy.handle(now, PolicyEvent::Sharers { nodes: sharers }, out);
-        let up: Map<&DestinationName, &Destination> =
-            used.iter().map(|routable| (&routable.name, *routable)).collect();
-        // A target that starts again keeps its name and may have another address.
-        let gone = self.routables.values().filter(|known| up.get(&known.name) != Some(known));
-        let gone: Vec<_> = gone.map(|routable| routable.name.clone()).collect();
-        for name in &gone {
-            if let Some(key) = self.keys.remove(name) {
-                self.routables.remove(&key);
+        self.policy.handle(now, PolicyEvent::Sharers { nodes: senders }, out);
+        let current: Map<&DestinationName, &Destination> =
+            selected.iter().map(|destination| (&destination.name, *destination)).collect();
+        // A restarted target keeps its name but may have another address.
+        let removed = self
+            .destinations
+            .values()
+            .filter(|previous| current.get(&previous.name) != Some(previous));
+        let removed: Vec<_> = removed.map(|destination| destination.name.clone()).collect();
+        for name in &removed {
+            if let Some(key) = self.target_keys.remove(name) {
+                self.destinations.remove(&key);
                 self.policy.handle(now, PolicyEvent::TargetDown { target: key }, out);
             }
         }
-        for routable in used {
-            if !self.keys.contains_key(&routable.name) {
-                self.target_up(now, routable, out);
+        for destination in selected {
+            if !self.target_keys.contains_key(&destination.name) {
+                self.add_target(now, destination, out);
             }
         }
-        self.routables_all = all;
+        self.all_destinations = all;
     }
 
     fn sharing(&self, all: &[Destination]) -> Sharing {
-        let slots = all.iter().map(|routable| routable.slots).max().unwrap_or(0);
-        match slots / self.sharers < SLOTS_PER_NODE_MIN {
+        let slots = all.iter().map(|destination| destination.slots).max().unwrap_or(0);
+        match slots / self.senders < SLOTS_PER_NODE_MIN {
             true => Sharing::Pooled,
             false => Sharing::Borrowing,
         }
     }
 
-    fn target_up(&mut self, now: TimeMs, routable: &Destination, out: &mut Vec<Decision>) {
+    fn add_target(&mut self, now: TimeMs, destination: &Destination, out: &mut Vec<Decision>) {
         let target = self.next_key;
         self.next_key = target.next();
-        self.keys.insert(routable.name.clone(), target);
-        self.routables.insert(target, routable.clone());
+        self.target_keys.insert(destination.name.clone(), target);
+        self.destinations.insert(target, destination.clone());
         let profile =
-            TargetProfile { serves: self.serves.clone(), slots: routable.slots, distance_us: 0 };
+            TargetProfile { serves: self.serves.clone(), slots: destination.slots, distance_us: 0 };
         self.policy.handle(now, PolicyEvent::TargetUp { target, profile }, out);
     }
 
-    /// Takes over how many nodes send here, and how many repeated sends this one may save up.
-    pub(crate) fn set_sharers(
+    /// Sets the number of sending nodes and the retry limits of this one.
+    pub(crate) fn set_senders(
         &mut self,
         now: TimeMs,
         nodes: u32,
         retries: RetryLimits,
         out: &mut Vec<Decision>,
     ) {
-        self.sharers = nodes.max(1);
+        self.senders = nodes.max(1);
         self.policy.set_retry_saved_max(retries.saved_max);
-        self.use_targets(now, out);
+        self.update_targets(now, out);
     }
 
     pub(crate) fn arrived(
@@ -230,7 +231,7 @@
         head: &RequestHead,
         out: &mut Vec<Decision>,
     ) {
-        self.offered_ms += self.work.request_ms(head, self.output);
+        self.offered_slot_ms += self.request_times.request_ms(head, self.output);
         self.policy.handle(now, PolicyEvent::Arrived { ticket, head }, out);
     }
 
@@ -238,19 +239,19 @@
         self.policy.handle(now, PolicyEvent::Started { ticket }, out);
     }
 
-    pub(crate) fn finished(
+    pub(crate) fn completed(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
         (events, events_allowed): (u32, u32),
         out: &mut Vec<Decision>,
     ) {
-        self.output.learn(events, events_allowed);
+        self.output.record(events, events_allowed);
         let event = PolicyEvent::Finished { ticket, output_tokens: events };
         self.policy.handle(now, event, out);
     }
 
-    pub(crate) fn broken(
+    pub(crate) fn attempt_failed(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
@@ -260,20 +261,20 @@
         self.policy.handle(now, PolicyEvent::Broken { ticket, verdict }, out);
     }
 
-    pub(crate) fn gone(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<Decision>) {
+    pub(crate) fn abandoned(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<Decision>) {
         self.policy.handle(now, PolicyEvent::CallerGone { ticket }, out);
     }
 
-    pub(crate) fn reported(
+    pub(crate) fn load_reported(
         &mut self,
         now: TimeMs,
         name: &DestinationName,
         load: ReportedLoad,
         out: &mut Vec<Decision>,
     ) {
-        let Some(&target) = self.keys.get(name) else { return };
+        let Some(&target) = self.target_keys.get(name) else { return };
         let load = TargetLoad {
-            age_ms: LOAD_AGE_MS,
+            age_ms: REPORTED_LOAD_AGE_MS,
             running: load.running,
             waiting: load.waiting,
             prefill_tokens_queued: 0,
@@ -284,7 +285,7 @@
         self.policy.handle(now, PolicyEvent::Reported { target, load }, out);
     }
 
-    /// Whether time alone has something to decide.
+    /// Whether a timer of the policy is due.
     pub(crate) fn is_due(&self, now: TimeMs) -> bool {
         self.policy.next_wake().is_some_and(|at| at <= now)
     }
@@ -293,7 +294,7 @@
         self.policy.handle(now, PolicyEvent::Tick, out);
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub(crate) fn queued(&self) -> usize {
         self.policy.queued()
     }
--- a/crates/gateway/src/traffic/sink.rs
+++ b/crates/gateway/src/traffic/sink.rs
@@ -2,64 +2,61 @@
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
 
-/// Pieces of an answer that wait for a caller who reads slowly.
-///
-/// Load: callers that stop reading. Harm: each piece read from the target is held here. Limit: a
-/// few events, so that the target is read no faster than its caller reads.
-const WAITING_PIECES: usize = 8;
+/// Chunks buffered for a caller that reads slowly; a full buffer stops reading from the target.
+const BUFFERED_CHUNKS_MAX: usize = 8;
 
 /// Status and headers of an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerParts {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// The body, if it is known whole; pieces follow otherwise.
-    pub(crate) whole: Option<Bytes>,
+    /// The body, if it is complete; otherwise chunks follow.
+    pub(crate) body: Option<Bytes>,
 }
 
-/// One step of an answer's body.
+/// A step of an answer body.
 #[derive(Clone, Debug)]
-pub(crate) enum Piece {
-    /// More of it.
+pub(crate) enum Chunk {
+    /// More data.
     Data(Bytes),
-    /// It is whole.
+    /// The end of a complete body.
     End,
 }
 
-/// Where an exchange puts its answer.
+/// The sending side of an answer.
 #[derive(Debug)]
 pub(crate) struct AnswerSink {
     parts: Sender<AnswerParts>,
-    pieces: Sender<Piece>,
-    begun: bool,
+    chunks: Sender<Chunk>,
+    head_sent: bool,
 }
 
-/// A sink, and the ends at which the answer comes out.
-pub(crate) fn sink() -> (AnswerSink, Receiver<AnswerParts>, Receiver<Piece>) {
-    let (parts, parts_out) = bounded(1);
-    let (pieces, pieces_out) = bounded(WAITING_PIECES);
-    (AnswerSink { parts, pieces, begun: false }, parts_out, pieces_out)
+/// Creates a sink and the receivers of its head and chunks.
+pub(crate) fn answer_sink() -> (AnswerSink, Receiver<AnswerParts>, Receiver<Chunk>) {
+    let (parts, parts_receiver) = bounded(1);
+    let (chunks, chunks_receiver) = bounded(BUFFERED_CHUNKS_MAX);
+    (AnswerSink { parts, chunks, head_sent: false }, parts_receiver, chunks_receiver)
 }
 
 impl AnswerSink {
-    /// Whether the caller has the head of an answer.
-    pub(crate) fn has_begun(&self) -> bool {
-        self.begun
+    /// Whether the head has been sent to the caller.
+    pub(crate) fn head_sent(&self) -> bool {
+        self.head_sent
     }
 
-    /// Gives the head of the answer; a caller that has left is noticed by the exchange's end.
-    pub(crate) async fn begin(&mut self, parts: AnswerParts) {
-        self.begun = true;
+    /// Sends the head; if the caller has disconnected, the exchange is dropped.
+    pub(crate) async fn send_head(&mut self, parts: AnswerParts) {
+        self.head_sent = true;
         self.parts.send(parts).await.unwrap_or_default();
     }
 
-    /// Gives more of the body.
-    pub(crate) async fn piece(&self, bytes: Bytes) {
-        self.pieces.send(Piece::Data(bytes)).await.unwrap_or_default();
+    /// Sends a chunk of the body.
+    pub(crate) async fn send_chunk(&self, bytes: Bytes) {
+        self.chunks.send(Chunk::Data(bytes)).await.unwrap_or_default();
     }
 
-    /// Says that the body is whole; a sink that is dropped without it leaves a broken answer.
-    pub(crate) async fn end(&self) {
-        self.pieces.send(Piece::End).await.unwrap_or_default();
+    /// Marks the body as complete; dropping the sink without this truncates the answer.
+    pub(crate) async fn finish(&self) {
+        self.chunks.send(Chunk::End).await.unwrap_or_default();
     }
 }
--- a/crates/gateway/src/traffic/update.rs
+++ b/crates/gateway/src/traffic/update.rs
@@ -6,10 +6,10 @@
 use celeryhaven_types::{ModelName, ServiceName, TimeMs, VmName};
 
 state! {
-    /// Something that requests can be sent to.
+    /// Identifies a destination.
     #[derive(Eq, Hash, PartialOrd, Ord)]
     pub(crate) enum DestinationName {
-        /// A whole replica; its head takes the requests.
+        /// A whole replica, whose head takes the requests.
         Replica(ReplicaKey),
         /// A target of a plain service.
         Plain(VmName),
@@ -18,23 +18,23 @@
     /// A whole replica, or a target of a plain service.
     #[derive(Eq)]
     pub(crate) struct Destination {
-        /// Names it.
+        /// The unique name.
         pub(crate) name: DestinationName,
-        /// The service that it belongs to.
+        /// The service to which it belongs.
         pub(crate) service: ServiceName,
-        /// The model that it serves; `None` for a plain service.
+        /// The served model; `None` for a plain service.
         pub(crate) model: Option<ModelName>,
         /// The target that takes the requests.
         pub(crate) target: VmName,
-        /// Where it listens.
+        /// The address of that target.
         pub(crate) address: SocketAddr,
-        /// Requests that it runs side by side.
+        /// Maximum number of concurrent requests.
         pub(crate) slots: u32,
     }
 }
 
 impl DestinationName {
-    /// The replica's or the target's name.
+    /// Returns the name of the replica or target.
     pub(crate) fn as_str(&self) -> &str {
         match self {
             Self::Replica(key) => key.replica.as_str(),
@@ -43,25 +43,25 @@
     }
 }
 
-/// What traffic may use from now on.
+/// The state that the control thread publishes to traffic.
 #[derive(Clone, Debug)]
 pub(crate) struct TrafficUpdate {
-    /// The configuration in force; `None` while none is known.
+    /// The configuration in force; `None` until one has been received.
     pub(crate) routes: Option<Arc<RouteTable>>,
-    /// Everything that requests may be sent to.
+    /// All destinations for requests.
     pub(crate) destinations: Arc<[Destination]>,
-    /// Addresses of the nodes that take requests, this one among them if it does.
+    /// Addresses of the nodes that accept requests, including this node's if it does.
     pub(crate) addresses: Vec<SocketAddr>,
-    /// Live nodes that send to the same targets, this one included.
+    /// Number of live nodes that send to the same targets, including this one.
     pub(crate) senders: u32,
-    /// Whether this node takes requests.
+    /// Whether this node accepts requests.
     pub(crate) ready: bool,
-    /// Until when this node counts as cut off from the store.
+    /// Time until which this node counts as cut off from the store.
     pub(crate) cut_off_until: Option<TimeMs>,
 }
 
 impl TrafficUpdate {
-    /// Whether it tells the same as another; what is shared is compared by identity.
+    /// Whether two updates are equal; shared values are compared by identity.
     pub(crate) fn is_same_as(&self, other: &Self) -> bool {
         let routes = match (&self.routes, &other.routes) {
             (Some(own), Some(others)) => Arc::ptr_eq(own, others),
@@ -77,24 +77,24 @@
 }
 
 state! {
-    /// Work that callers have offered for one model.
+    /// Load that callers have offered for one model.
     pub(crate) struct OfferedLoad {
         /// The model.
         pub(crate) model: ModelName,
-        /// Time in a slot that it takes, in milliseconds.
+        /// Slot time that the load needs, in milliseconds.
         pub(crate) slot_ms: f64,
     }
 }
 
-/// What traffic tells the control thread.
+/// A report from traffic to the control thread.
 #[derive(Clone, Debug)]
 pub(crate) enum TrafficReport {
-    /// A caller's first request has come.
+    /// The first caller request was received.
     FirstRequest,
-    /// The requests at a replica stand still together.
+    /// All streams of a replica have stalled, or no connection to its head could be made.
     Suspected(ReplicaKey),
-    /// A target is named as lost, or refuses connections.
+    /// A target was reported as lost, or no connection to it could be made.
     LossReported(VmName),
-    /// Work that callers have offered since the last time.
+    /// Load that callers have offered since the last report.
     Offered(Vec<OfferedLoad>),
 }
