--- a/crates/demand/tests/shares.rs
+++ b/crates/demand/tests/shares.rs
@@ -14,7 +14,7 @@
         name: ModelName::new(name),
         size,
         share: 0.5,
-        pace: 1.0,
+        time_factor: 1.0,
         load_ms: 16_000,
         staged_load_ms: 1_600,
     }
--- a/crates/fleet/src/config/engine.rs
+++ b/crates/fleet/src/config/engine.rs
@@ -17,7 +17,7 @@
         /// Loads that may start in a second, over all targets.
         pub loads_per_s: f64,
         /// Loads that run side by side at full speed, over all targets; more share that speed.
-        pub loads_at_once: f64,
+        pub concurrent_loads: f64,
         /// The models that its targets can serve.
         pub models: Vec<ModelProfile>,
     }
@@ -31,7 +31,7 @@
         /// Part of the service's work expected for it, from 0 to 1.
         pub share: f64,
         /// Factor on all times of its replicas; under 1 is faster.
-        pub pace: f64,
+        pub time_factor: f64,
         /// Time to load it from the weights store, in milliseconds.
         pub load_ms: u64,
         /// Time to load it where it is staged on the host, in milliseconds.
@@ -47,6 +47,6 @@
 
     /// Time of one token of one request in a batch this full, in milliseconds.
     pub fn token_ms(&self, model: &ModelProfile, batch: f64) -> f64 {
-        (self.step_ms + self.step_ms_per_request * batch) * model.pace
+        (self.step_ms + self.step_ms_per_request * batch) * model.time_factor
     }
 }
--- a/crates/fleet/src/config/route.rs
+++ b/crates/fleet/src/config/route.rs
@@ -63,9 +63,9 @@
 
 impl Route {
     /// The service that a number from 0 to 1 draws by weight.
-    pub fn draw(&self, number: f64) -> Option<&ServiceName> {
+    pub fn select_service(&self, fraction: f64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
-        let mut rest = (number * total as f64) as u64;
+        let mut rest = (fraction * total as f64) as u64;
         for share in &self.shares {
             let weight = u64::from(share.weight);
             if rest < weight {
--- a/crates/fleet/src/relay/change_log.rs
+++ b/crates/fleet/src/relay/change_log.rs
@@ -63,10 +63,10 @@
 ///
 /// let mut log = ChangeLog::new();
 /// let version = ObjectVersion::new(7);
-/// assert_eq!(log.since(TimeMs::new(0), None), Some(RelayAnswer::Stale));
-/// log.listed(version, &[]);
-/// log.contacted(TimeMs::new(0), Default::default());
-/// assert_eq!(log.since(TimeMs::new(1), Some(version)), None);
+/// assert_eq!(log.changes_since(TimeMs::new(0), None), Some(RelayAnswer::Stale));
+/// log.apply_list(version, &[]);
+/// log.record_contact(TimeMs::new(0), Default::default());
+/// assert_eq!(log.changes_since(TimeMs::new(1), Some(version)), None);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
@@ -100,7 +100,7 @@
     }
 
     /// Takes over a whole list of the store.
-    pub fn listed(&mut self, version: ObjectVersion, objects: &[Object]) {
+    pub fn apply_list(&mut self, version: ObjectVersion, objects: &[Object]) {
         self.version = version;
         self.kept_from = version;
         self.is_whole = true;
@@ -113,7 +113,7 @@
     /// Guards against a log with a gap: a node that follows a relay keeps no log, and may become one
     /// itself. Were it to go on from its last list, followers that are a little behind would miss what
     /// it heard in between, such as a target that leaves, and keep it for good.
-    pub fn changed(
+    pub fn apply_changes(
         &mut self,
         from: ObjectVersion,
         version: ObjectVersion,
@@ -149,7 +149,7 @@
     /// Takes over when the store was heard of, by this node or by a relay that this one follows.
     ///
     /// Times add up along a chain of relays, so that the last one vouches no longer than the first.
-    pub fn contacted(&mut self, now: TimeMs, store: StoreContact) {
+    pub fn record_contact(&mut self, now: TimeMs, store: StoreContact) {
         let at = now.before(store.contact_age_ms);
         self.contact_at = Some(self.contact_at.map_or(at, |before| before.max(at)));
         if let Some(ago_ms) = store.returned_ms_ago {
@@ -176,12 +176,12 @@
     }
 
     /// Forgets that the store was heard of: this node relays no more.
-    pub fn silence(&mut self) {
+    pub fn clear_contact(&mut self) {
         self.contact_at = None;
     }
 
     /// What is new for a node that has everything up to a version; `None` if nothing is yet.
-    pub fn since(&self, now: TimeMs, from: Option<ObjectVersion>) -> Option<RelayAnswer> {
+    pub fn changes_since(&self, now: TimeMs, from: Option<ObjectVersion>) -> Option<RelayAnswer> {
         if self.contact_at.is_none_or(|at| now.since(at) > CONTACT_MAX_MS) {
             return Some(RelayAnswer::Stale);
         }
@@ -211,9 +211,9 @@
     }
 
     /// The answer to a node for which nothing new has come.
-    pub fn nothing_new(&self, now: TimeMs, from: ObjectVersion) -> RelayAnswer {
+    pub fn empty_answer(&self, now: TimeMs, from: ObjectVersion) -> RelayAnswer {
         let (version, store) = (self.version.max(from), self.store(now));
         let nothing = RelayAnswer::Changes { version, changes: Vec::new(), store };
-        self.since(now, Some(from)).unwrap_or(nothing)
+        self.changes_since(now, Some(from)).unwrap_or(nothing)
     }
 }
--- a/crates/fleet/src/target/order.rs
+++ b/crates/fleet/src/target/order.rs
@@ -51,7 +51,7 @@
         /// It finishes what it has.
         Finish,
         /// It breaks off what it has.
-        BreakOff,
+        Abort,
     }
 
     /// What became of an order.
@@ -62,7 +62,7 @@
         /// It does not fit the target's state, or is older than what the target has seen.
         Refused,
         /// Another target has the address, or nothing listens there: the target is gone.
-        Gone,
+        TargetRemoved,
         /// No answer: it may have been accepted, or may be carried out later.
         Unanswered,
     }
@@ -106,7 +106,7 @@
         match self {
             Self::Accepted => "accepted",
             Self::Refused => "refused",
-            Self::Gone => "gone",
+            Self::TargetRemoved => "gone",
             Self::Unanswered => "unanswered",
         }
     }
--- a/crates/fleet/src/view/fleet_view.rs
+++ b/crates/fleet/src/view/fleet_view.rs
@@ -44,7 +44,7 @@
     }
 
     /// Keeps entries that lapse until then: the store was away and has just come back.
-    pub fn grant_grace(&mut self, until: TimeMs) {
+    pub fn keep_lapsed_until(&mut self, until: TimeMs) {
         self.grace_until = Some(until);
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// One target, also if its entry was removed some seconds ago.
-    pub fn known(&self, name: &VmName) -> Option<&TargetEntry> {
+    pub fn target_or_removed(&self, name: &VmName) -> Option<&TargetEntry> {
         self.target(name).or_else(|| self.departed.get(name).map(|(entry, _)| entry))
     }
 
@@ -149,8 +149,8 @@
     }
 
     /// Replicas that a member names or has named lately.
-    pub fn shown(&self) -> &BTreeSet<ReplicaKey> {
-        self.replicas.shown()
+    pub fn reported_replicas(&self) -> &BTreeSet<ReplicaKey> {
+        self.replicas.reported()
     }
 
     /// The fabric domains of a service's targets, by name.
--- a/crates/fleet/src/view/replica_index.rs
+++ b/crates/fleet/src/view/replica_index.rs
@@ -34,7 +34,7 @@
     }
 
     /// Replicas that a member names or has named lately.
-    pub(crate) fn shown(&self) -> &BTreeSet<ReplicaKey> {
+    pub(crate) fn reported(&self) -> &BTreeSet<ReplicaKey> {
         &self.shown
     }
 
--- a/crates/fleet/tests/fleet_view.rs
+++ b/crates/fleet/tests/fleet_view.rs
@@ -115,7 +115,7 @@
             assert_eq!(members(fleet.replicas()), by_entries, "seed {seed}");
             assert_eq!(fleet.replicas(), anew(&fleet).replicas(), "seed {seed}");
             assert_eq!(domains(&fleet), domains_by_entries(&fleet), "seed {seed}");
-            assert!(fleet.replicas().keys().all(|key| fleet.shown().contains(key)));
+            assert!(fleet.replicas().keys().all(|key| fleet.reported_replicas().contains(key)));
         }
     }
 }
--- a/crates/fleet/tests/relay.rs
+++ b/crates/fleet/tests/relay.rs
@@ -22,8 +22,8 @@
 /// A log that has just heard a list without objects from the store.
 fn listed(version: u64) -> ChangeLog {
     let mut log = ChangeLog::new();
-    log.listed(ObjectVersion::new(version), &[]);
-    log.contacted(NOW, StoreContact::direct(false));
+    log.apply_list(ObjectVersion::new(version), &[]);
+    log.record_contact(NOW, StoreContact::direct(false));
     log
 }
 
@@ -78,20 +78,20 @@
                 pending.push(change.clone());
                 if bool::arbitrary(&mut random) {
                     let from = std::mem::replace(at, ObjectVersion::new(version));
-                    log.changed(from, ObjectVersion::new(version), &std::mem::take(pending));
+                    log.apply_changes(from, ObjectVersion::new(version), &std::mem::take(pending));
                 }
             }
             if u8::arbitrary(&mut random) < 40 {
                 let log = &logs[usize::arbitrary(&mut random) % 2];
-                if let Some(answer) = log.since(NOW, follower.from) {
+                if let Some(answer) = log.changes_since(NOW, follower.from) {
                     follower.take(answer);
                 }
             }
         }
         for ((log, pending), at) in logs.iter_mut().zip(&mut pending).zip(at) {
-            log.changed(at, ObjectVersion::new(1_199), &std::mem::take(pending));
+            log.apply_changes(at, ObjectVersion::new(1_199), &std::mem::take(pending));
         }
-        if let Some(answer) = logs[0].since(NOW, follower.from) {
+        if let Some(answer) = logs[0].changes_since(NOW, follower.from) {
             follower.take(answer);
         }
         assert_eq!(follower.objects, store, "seed {seed}");
@@ -103,18 +103,18 @@
 fn relay_cut_off_vouches_for_nothing() {
     let log = listed(5);
     let later = NOW.after(4_000);
-    assert_eq!(log.since(later, Some(ObjectVersion::new(5))), Some(RelayAnswer::Stale));
-    assert_eq!(log.nothing_new(later, ObjectVersion::new(5)), RelayAnswer::Stale);
+    assert_eq!(log.changes_since(later, Some(ObjectVersion::new(5))), Some(RelayAnswer::Stale));
+    assert_eq!(log.empty_answer(later, ObjectVersion::new(5)), RelayAnswer::Stale);
 }
 
 /// A follower was at a relay that is ahead of this one. It keeps its place and gets nothing twice.
 #[test]
 fn relay_behind_its_follower() {
     let mut log = listed(5);
-    log.changed(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, Some("1"))]);
+    log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, Some("1"))]);
     let ahead = ObjectVersion::new(9);
-    assert_eq!(log.since(NOW, Some(ahead)), None);
-    let RelayAnswer::Changes { version, changes, .. } = log.nothing_new(NOW, ahead) else {
+    assert_eq!(log.changes_since(NOW, Some(ahead)), None);
+    let RelayAnswer::Changes { version, changes, .. } = log.empty_answer(NOW, ahead) else {
         panic!()
     };
     assert_eq!((version, changes.len()), (ahead, 0));
@@ -125,15 +125,16 @@
 #[test]
 fn relay_tells_of_outage() {
     let mut log = listed(5);
-    log.contacted(NOW, StoreContact::direct(true));
-    log.changed(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, None)]);
-    let told = |log: &ChangeLog, at| match log.since(at, Some(ObjectVersion::new(5))).unwrap() {
-        RelayAnswer::Changes { store, .. } => store.returned_ms_ago,
-        _ => panic!("not the changes"),
-    };
+    log.record_contact(NOW, StoreContact::direct(true));
+    log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, None)]);
+    let told =
+        |log: &ChangeLog, at| match log.changes_since(at, Some(ObjectVersion::new(5))).unwrap() {
+            RelayAnswer::Changes { store, .. } => store.returned_ms_ago,
+            _ => panic!("not the changes"),
+        };
     assert_eq!(told(&log, NOW.after(1_000)), Some(1_000));
     let later = NOW.after(3_000);
-    log.contacted(later, StoreContact::direct(false));
+    log.record_contact(later, StoreContact::direct(false));
     assert_eq!(told(&log, later), None);
 }
 
@@ -146,13 +147,14 @@
     let mut second = ChangeLog::new();
     let version = ObjectVersion::new(5);
     let asked_at = NOW.after(1_000);
-    let RelayAnswer::Listed { objects, store, .. } = first.since(asked_at, None).unwrap() else {
+    let RelayAnswer::Listed { objects, store, .. } = first.changes_since(asked_at, None).unwrap()
+    else {
         panic!("not the list")
     };
-    second.listed(version, &objects);
-    second.contacted(asked_at, store);
-    assert_eq!(second.since(NOW.after(1_400), Some(version)), None);
-    assert_eq!(second.since(NOW.after(1_600), Some(version)), Some(RelayAnswer::Stale));
+    second.apply_list(version, &objects);
+    second.record_contact(asked_at, store);
+    assert_eq!(second.changes_since(NOW.after(1_400), Some(version)), None);
+    assert_eq!(second.changes_since(NOW.after(1_600), Some(version)), Some(RelayAnswer::Stale));
 }
 
 /// The store comes back and a chain of relays tells so. Entries that lapsed are kept for a while
@@ -160,16 +162,16 @@
 #[test]
 fn relay_chain_tells_when_store_returned() {
     let mut first = listed(5);
-    first.contacted(NOW, StoreContact::direct(true));
+    first.record_contact(NOW, StoreContact::direct(true));
     let mut second = ChangeLog::new();
     let RelayAnswer::Changes { store, .. } =
-        first.nothing_new(NOW.after(1_200), ObjectVersion::new(5))
+        first.empty_answer(NOW.after(1_200), ObjectVersion::new(5))
     else {
         panic!("not the changes")
     };
-    second.listed(ObjectVersion::new(5), &[]);
-    second.contacted(NOW.after(1_200), store);
-    let told = second.nothing_new(NOW.after(1_400), ObjectVersion::new(5));
+    second.apply_list(ObjectVersion::new(5), &[]);
+    second.record_contact(NOW.after(1_200), store);
+    let told = second.empty_answer(NOW.after(1_400), ObjectVersion::new(5));
     let RelayAnswer::Changes { store, .. } = told else { panic!("not the changes") };
     assert_eq!(store.returned_ms_ago, Some(1_400));
 }
@@ -181,18 +183,18 @@
 fn changed_after_a_gap() {
     let mut log = listed(5);
     let (from, version) = (ObjectVersion::new(8), ObjectVersion::new(9));
-    log.changed(from, version, &[change("a", 9, Some("1"))]);
-    log.contacted(NOW, StoreContact::direct(false));
+    log.apply_changes(from, version, &[change("a", 9, Some("1"))]);
+    log.record_contact(NOW, StoreContact::direct(false));
     assert!(log.lacks_list());
-    assert_eq!(log.since(NOW, Some(ObjectVersion::new(6))), Some(RelayAnswer::Stale));
-    assert_eq!(log.since(NOW, None), Some(RelayAnswer::Stale));
-    let Some(RelayAnswer::Changes { changes, .. }) = log.since(NOW, Some(from)) else {
+    assert_eq!(log.changes_since(NOW, Some(ObjectVersion::new(6))), Some(RelayAnswer::Stale));
+    assert_eq!(log.changes_since(NOW, None), Some(RelayAnswer::Stale));
+    let Some(RelayAnswer::Changes { changes, .. }) = log.changes_since(NOW, Some(from)) else {
         panic!("not the changes")
     };
     assert_eq!(changes.len(), 1);
-    log.listed(ObjectVersion::new(9), &[]);
+    log.apply_list(ObjectVersion::new(9), &[]);
     assert!(!log.lacks_list());
-    assert!(matches!(log.since(NOW, None), Some(RelayAnswer::Listed { .. })));
+    assert!(matches!(log.changes_since(NOW, None), Some(RelayAnswer::Listed { .. })));
 }
 
 /// Guards against followers that get every step of a target that has changed many times.
@@ -202,8 +204,9 @@
     let changes: Vec<_> = (11..61)
         .map(|version| change(if version % 2 == 0 { "a" } else { "b" }, version, Some("{}")))
         .collect();
-    log.changed(ObjectVersion::new(10), ObjectVersion::new(60), &changes);
-    let Some(RelayAnswer::Changes { changes, .. }) = log.since(NOW, Some(ObjectVersion::new(10)))
+    log.apply_changes(ObjectVersion::new(10), ObjectVersion::new(60), &changes);
+    let Some(RelayAnswer::Changes { changes, .. }) =
+        log.changes_since(NOW, Some(ObjectVersion::new(10)))
     else {
         panic!("no changes")
     };
@@ -217,7 +220,7 @@
     let mut log = listed(10);
     let changes: Vec<_> =
         (0..2_000).map(|number| change(&format!("vm-{number}"), 11 + number, Some("{}"))).collect();
-    log.changed(ObjectVersion::new(10), ObjectVersion::new(2_010), &changes);
-    let answer = log.since(NOW, Some(ObjectVersion::new(10)));
+    log.apply_changes(ObjectVersion::new(10), ObjectVersion::new(2_010), &changes);
+    let answer = log.changes_since(NOW, Some(ObjectVersion::new(10)));
     assert!(matches!(answer, Some(RelayAnswer::Changes { changes, .. }) if changes.len() == 2_000));
 }
--- a/crates/forming/src/domain/dissolving.rs
+++ b/crates/forming/src/domain/dissolving.rs
@@ -38,7 +38,7 @@
     pub(crate) fn left(&mut self, key: &ReplicaKey, member: &VmName, outcome: OrderOutcome) {
         match outcome {
             // A refusal says that the target is not in this replica any more.
-            OrderOutcome::Accepted | OrderOutcome::Refused | OrderOutcome::Gone => {
+            OrderOutcome::Accepted | OrderOutcome::Refused | OrderOutcome::TargetRemoved => {
                 self.left.insert((member.clone(), key.clone()));
             }
             OrderOutcome::Unanswered => {}
--- a/crates/forming/src/domain/domain_planner.rs
+++ b/crates/forming/src/domain/domain_planner.rs
@@ -237,9 +237,9 @@
 
     /// Forgets what is remembered of targets and replicas that nobody lists any more.
     fn forget_unlisted(&mut self, view: FormingView<'_>) {
-        self.unreachable.retain(|name, _| view.fleet.known(name).is_some());
+        self.unreachable.retain(|name, _| view.fleet.target_or_removed(name).is_some());
         self.departing.retain(|name, _| {
-            view.fleet.known(name).is_some() && view.fleet.target(name).is_none()
+            view.fleet.target_or_removed(name).is_some() && view.fleet.target(name).is_none()
         });
         self.staging.retain(|name, _| view.fleet.target(name).is_some());
         self.unstageable.retain(|name, _| view.fleet.target(name).is_some());
--- a/crates/forming/src/domain/orders.rs
+++ b/crates/forming/src/domain/orders.rs
@@ -51,7 +51,7 @@
             }
             self.unreachable.insert(pending.target.clone(), now);
         }
-        if outcome == OrderOutcome::Gone {
+        if outcome == OrderOutcome::TargetRemoved {
             self.unreachable.insert(pending.target.clone(), now);
         }
         match &pending.order {
--- a/crates/forming/src/domain/reach.rs
+++ b/crates/forming/src/domain/reach.rs
@@ -53,7 +53,7 @@
         // One that is listed has started again or joined another; one without an address cannot be
         // asked.
         let is_listed = view.fleet.target(name).is_some();
-        let is_known = view.fleet.known(name).is_some();
+        let is_known = view.fleet.target_or_removed(name).is_some();
         if is_listed || !is_known || self.unreachable.contains_key(name) {
             return Some(false);
         }
--- a/crates/forming/src/domain/replicas.rs
+++ b/crates/forming/src/domain/replicas.rs
@@ -77,7 +77,7 @@
         match outcome {
             OrderOutcome::Accepted => formation.accepted.push(target.clone()),
             OrderOutcome::Refused => self.abandon(key, "join refused", out),
-            OrderOutcome::Gone | OrderOutcome::Unanswered => {
+            OrderOutcome::TargetRemoved | OrderOutcome::Unanswered => {
                 self.unreachable.insert(target.clone(), now.after(self.settings.probe_every_ms));
                 self.abandon(key, "member unreachable", out);
             }
--- a/crates/forming/src/mix/balance.rs
+++ b/crates/forming/src/mix/balance.rs
@@ -27,7 +27,7 @@
 ///     name: ModelName::new(name),
 ///     size,
 ///     share,
-///     pace: 1.0,
+///     time_factor: 1.0,
 ///     load_ms: 16_000,
 ///     staged_load_ms: 1_600,
 /// };
--- a/crates/forming/tests/common/mod.rs
+++ b/crates/forming/tests/common/mod.rs
@@ -367,7 +367,7 @@
         self.check_join(target, order);
         let refuses = self.refuses_stage.contains(target);
         match self.toys.get_mut(target) {
-            None => OrderOutcome::Gone,
+            None => OrderOutcome::TargetRemoved,
             Some(toy) if !toy.alive => OrderOutcome::Unanswered,
             Some(toy) => toy.apply(self.now, order, refuses),
         }
@@ -403,7 +403,7 @@
         // Loads beyond what the weights store can do at once share its speed.
         self.callers_came |= self.traffic_seen;
         let share = match self.callers_came {
-            true => profile().loads_at_once / self.loads_under_way().max(1) as f64,
+            true => profile().concurrent_loads / self.loads_under_way().max(1) as f64,
             false => 1.0,
         };
         let loaded_ms = STEP_MS as f64 * share.min(1.0);
--- a/crates/forming/tests/common/toy.rs
+++ b/crates/forming/tests/common/toy.rs
@@ -37,7 +37,7 @@
         name: ModelName::new(name),
         size,
         share: 0.5,
-        pace: 1.0,
+        time_factor: 1.0,
         load_ms: 16_000,
         staged_load_ms: 1_600,
     }
@@ -51,7 +51,7 @@
         prefill_tokens_per_ms: 45.9,
         tokens_per_event: 5,
         loads_per_s: 5.0,
-        loads_at_once: 2.0,
+        concurrent_loads: 2.0,
         models: vec![model("large", 4), model("small", 2)],
     }
 }
--- a/crates/gateway/src/control/actions.rs
+++ b/crates/gateway/src/control/actions.rs
@@ -55,13 +55,13 @@
     }
 
     fn order(&self, domain: DomainName, call: OrderCall, target: VmName, order: TargetOrder) {
-        let address = self.fleet.known(&target).map(|entry| entry.address);
+        let address = self.fleet.target_or_removed(&target).map(|entry| entry.address);
         let (targets, events) = (self.parts.targets.clone(), self.parts.events.0.clone());
         let (orders, log) = (self.parts.metrics.orders.clone(), self.parts.log.clone());
         let send = async move {
             let outcome = match address {
                 Some(address) => targets.order(&target, address, &order).await,
-                None => OrderOutcome::Gone,
+                None => OrderOutcome::TargetRemoved,
             };
             let label = OutcomeLabel { call: order.as_str(), outcome: outcome.as_str() };
             orders.get_or_create(&label).inc();
@@ -76,7 +76,7 @@
     }
 
     fn probe(&self, domain: DomainName, target: VmName) {
-        let address = self.fleet.known(&target).map(|entry| entry.address);
+        let address = self.fleet.target_or_removed(&target).map(|entry| entry.address);
         let (targets, events) = (self.parts.targets.clone(), self.parts.events.0.clone());
         let log = self.parts.log.clone();
         let probe = async move {
--- a/crates/gateway/src/control/deciding.rs
+++ b/crates/gateway/src/control/deciding.rs
@@ -51,7 +51,7 @@
         let mine: BTreeSet<DomainName> = mine.map(|&domain| domain.clone()).collect();
         let settings = FormingSettings::default().with_loads(
             profile.loads_per_s,
-            profile.loads_at_once,
+            profile.concurrent_loads,
             all.len(),
         );
         if self.deciders.set(now, &self.parts.settings.node, &mine, settings) {
@@ -167,6 +167,6 @@
     domains: &'a [ListedDomain<'a>],
     (traffic_seen, store_serves): (bool, bool),
 ) -> FormingView<'a> {
-    let (replicas, shown) = (fleet.replicas(), fleet.shown());
+    let (replicas, shown) = (fleet.replicas(), fleet.reported_replicas());
     FormingView { fleet, replicas, shown, profile, domains, traffic_seen, store_serves }
 }
--- a/crates/gateway/src/control/feed_updates.rs
+++ b/crates/gateway/src/control/feed_updates.rs
@@ -77,7 +77,7 @@
     /// Keeps entries that lapsed while the store was away until they should be back.
     pub(super) fn grace(&mut self, now: TimeMs, store: StoreContact) {
         if let Some(ago_ms) = store.returned_ms_ago {
-            self.fleet.grant_grace(now.before(ago_ms).after(GRACE_MS));
+            self.fleet.keep_lapsed_until(now.before(ago_ms).after(GRACE_MS));
         }
     }
 
--- a/crates/gateway/src/control/relay/relay_log.rs
+++ b/crates/gateway/src/control/relay/relay_log.rs
@@ -34,7 +34,7 @@
                 return RelayAnswer::Stale;
             }
             let new = match self.has_contact() {
-                true => self.log.borrow().since(BootClock.now(), question.from),
+                true => self.log.borrow().changes_since(BootClock.now(), question.from),
                 // A relay that has just started hears of the store within moments.
                 false => None,
             };
@@ -55,6 +55,6 @@
     /// The answer to a follower that has waited, or that asked to hear of the store.
     pub(super) fn nothing_new(&self, question: &Question) -> RelayAnswer {
         let from = question.from.unwrap_or_default();
-        self.log.borrow().nothing_new(BootClock.now(), from)
+        self.log.borrow().empty_answer(BootClock.now(), from)
     }
 }
--- a/crates/gateway/src/control/relay/relay_state.rs
+++ b/crates/gateway/src/control/relay/relay_state.rs
@@ -60,16 +60,16 @@
         let mut kept = log.log.borrow_mut();
         let store = match news {
             FeedUpdate::Listed { objects, store } => {
-                kept.listed(version, objects);
+                kept.apply_list(version, objects);
                 *store
             }
             FeedUpdate::Changed { changes, store } => {
-                kept.changed(from.unwrap_or_default(), version, changes);
+                kept.apply_changes(from.unwrap_or_default(), version, changes);
                 *store
             }
             FeedUpdate::Failed => return,
         };
-        kept.contacted(BootClock.now(), store);
+        kept.record_contact(BootClock.now(), store);
         drop(kept);
         log.is_direct.set(source == Source::Store);
         log.wake();
@@ -82,7 +82,7 @@
 
     /// Vouches for nothing any more, since no node is to follow this one.
     pub(crate) fn silence(&self, kind: FeedKind) {
-        self.log(kind).log.borrow_mut().silence();
+        self.log(kind).log.borrow_mut().clear_contact();
     }
 
     /// Answers a node that follows this one, and takes over the demand that it reports.
--- a/crates/gateway/src/control/targets.rs
+++ b/crates/gateway/src/control/targets.rs
@@ -52,7 +52,7 @@
         match self.exchange(address, request, ORDER_TIMEOUT).await {
             Some(Ok(answer)) => self.adapter.order_outcome(answer.status),
             Some(Err(ChannelError::Connect { source })) if is_refused(&source) => {
-                OrderOutcome::Gone
+                OrderOutcome::TargetRemoved
             }
             Some(Err(_)) | None => OrderOutcome::Unanswered,
         }
--- a/crates/gateway/src/http/callers.rs
+++ b/crates/gateway/src/http/callers.rs
@@ -109,7 +109,8 @@
     if leaving_ms.is_some_and(|ms| ms > DRAIN_ACCEPT_MS) {
         return Err(unavailable());
     }
-    let service = route.draw(request_fraction(&caller)).cloned().ok_or_else(unavailable)?;
+    let service =
+        route.select_service(request_fraction(&caller)).cloned().ok_or_else(unavailable)?;
     let has_engines =
         routes.config().service(&service).is_some_and(|service| service.engine.is_some());
     let budget_ms = caller.budget_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
--- a/crates/gateway/src/traffic/pool.rs
+++ b/crates/gateway/src/traffic/pool.rs
@@ -117,7 +117,7 @@
             Some((engine, model)) => {
                 let batch = f64::from(engine.slots) * ASSUMED_BATCH_FILL;
                 let token_ms = engine.token_ms(model, batch);
-                let prefill_ms = model.pace / engine.prefill_tokens_per_ms.max(f64::EPSILON);
+                let prefill_ms = model.time_factor / engine.prefill_tokens_per_ms.max(f64::EPSILON);
                 let event_ms = token_ms * f64::from(tokens_per_event);
                 request_times = RequestTimes { prompt_token_ms: prefill_ms, event_ms };
                 settings.with_times(token_ms * INITIAL_FIRST_TOKEN_STEPS, prefill_ms, event_ms)
