--- a/crates/fleet/src/config/configuration.rs
+++ b/crates/fleet/src/config/configuration.rs
@@ -4,43 +4,43 @@
 use crate::config::{CallerLimits, EngineProfile, Route};
 
 state! {
-    /// One accepted version of the configuration, in full.
+    /// An accepted version of the complete configuration.
     pub struct Configuration {
-        /// Grows with each version, in uneven steps.
+        /// Version number; increases with each version, not necessarily by one.
         pub number: ConfigNumber,
-        /// Every route.
+        /// All routes.
         pub routes: Vec<Route>,
-        /// Every service that a route may name.
+        /// All services that routes may reference.
         pub services: Vec<Service>,
-        /// What callers may send.
+        /// Limits on caller requests.
         pub limits: CallerLimits,
-        /// Who holds which keys; `None` where callers need none.
+        /// The organisations and their keys; `None` if callers need no key.
         pub key_holders: Option<Vec<KeyHolder>>,
     }
 
     /// Targets that answer the same requests.
     pub struct Service {
-        /// Its name.
+        /// The service name.
         pub name: ServiceName,
-        /// Connections that one of its targets takes from all nodes together.
+        /// Maximum number of connections to one target, over all nodes.
         pub connections_max: u32,
-        /// What is known of its engines; `None` for a plain service.
+        /// The profile of its engines; `None` for a plain service.
         pub engine: Option<EngineProfile>,
     }
 
-    /// An organisation and its keys.
+    /// An organisation and its API keys.
     pub struct KeyHolder {
-        /// The organisation.
+        /// The organisation name.
         pub name: OrganisationName,
-        /// Its keys.
+        /// The API keys.
         pub keys: Vec<String>,
-        /// Rank of its requests where it has one of its own, 0 first.
+        /// Rank of its requests, 0 first; `None` to use the rank of the route.
         pub rank: Option<u8>,
     }
 }
 
 impl Configuration {
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
--- a/crates/fleet/src/config/engine.rs
+++ b/crates/fleet/src/config/engine.rs
@@ -2,51 +2,51 @@
 use celeryhaven_types::ModelName;
 
 state! {
-    /// What the operators know of a service's engines.
+    /// The performance profile of a service's engines.
     pub struct EngineProfile {
-        /// Requests that a replica runs side by side.
+        /// Maximum number of concurrent requests per replica.
         pub slots: u32,
-        /// Time of one decode step of an empty batch, in milliseconds.
+        /// Duration of a decode step with an empty batch, in milliseconds.
         pub step_ms: f64,
-        /// Added to a step by each request in the batch, in milliseconds.
+        /// Additional step duration for each request in the batch, in milliseconds.
         pub step_ms_per_request: f64,
-        /// Prompt tokens that a replica prefills in a millisecond.
+        /// Prefill throughput of a replica, in prompt tokens per millisecond.
         pub prefill_tokens_per_ms: f64,
-        /// Tokens that one event of a stream holds.
+        /// Tokens in one event of a stream.
         pub tokens_per_event: u32,
-        /// Loads that may start in a second, over all targets.
+        /// Maximum rate at which loads may start over all targets, per second.
         pub loads_per_s: f64,
-        /// Loads that run side by side at full speed, over all targets; more share that speed.
+        /// Concurrent loads at full speed over all targets; more share the same bandwidth.
         pub concurrent_loads: f64,
-        /// The models that its targets can serve.
+        /// The models that the targets can serve.
         pub models: Vec<ModelProfile>,
     }
 
-    /// One model and what its replicas need.
+    /// A model and the requirements of its replicas.
     pub struct ModelProfile {
-        /// Its name.
+        /// The model name.
         pub name: ModelName,
-        /// Targets that form one replica.
+        /// Number of targets in one replica.
         pub size: usize,
-        /// Part of the service's work expected for it, from 0 to 1.
+        /// Expected share of the service's load, from 0 to 1.
         pub share: f64,
-        /// Factor on all times of its replicas; under 1 is faster.
+        /// Factor on all times of its replicas; below 1 is faster.
         pub time_factor: f64,
-        /// Time to load it from the weights store, in milliseconds.
+        /// Time to load the model from the weights store, in milliseconds.
         pub load_ms: u64,
-        /// Time to load it where it is staged on the host, in milliseconds.
+        /// Time to load the model when it is staged on the host, in milliseconds.
         pub staged_load_ms: u64,
     }
 }
 
 impl EngineProfile {
-    /// The model of this name.
+    /// Returns the model with this name.
     pub fn model(&self, name: &ModelName) -> Option<&ModelProfile> {
         self.models.iter().find(|model| model.name == *name)
     }
 
-    /// Time of one token of one request in a batch this full, in milliseconds.
-    pub fn token_ms(&self, model: &ModelProfile, batch: f64) -> f64 {
-        (self.step_ms + self.step_ms_per_request * batch) * model.time_factor
+    /// Returns the time per token of one request at this batch size, in milliseconds.
+    pub fn token_ms(&self, model: &ModelProfile, batch_size: f64) -> f64 {
+        (self.step_ms + self.step_ms_per_request * batch_size) * model.time_factor
     }
 }
--- a/crates/fleet/src/config/limits.rs
+++ b/crates/fleet/src/config/limits.rs
@@ -1,16 +1,16 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// What a caller may send, and how long it may take.
+    /// Size and time limits for caller requests.
     #[derive(Copy)]
     pub struct CallerLimits {
-        /// Longest head of a request, in bytes.
+        /// Maximum size of a request head, in bytes.
         pub header_bytes_max: usize,
-        /// Longest body of a request, in bytes.
+        /// Maximum size of a request body, in bytes.
         pub body_bytes_max: usize,
-        /// Longest time that a head may take to arrive, in milliseconds.
+        /// Maximum time until the head is complete, in milliseconds.
         pub header_timeout_ms: u64,
-        /// Longest time that a connection may stay idle, in milliseconds.
+        /// Maximum idle time of a connection, in milliseconds.
         pub idle_timeout_ms: u64,
     }
 }
--- a/crates/fleet/src/config/mod.rs
+++ b/crates/fleet/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! One version of the operators' configuration.
+//! The operators' configuration.
 
 mod configuration;
 mod engine;
--- a/crates/fleet/src/config/route.rs
+++ b/crates/fleet/src/config/route.rs
@@ -2,39 +2,39 @@
 use celeryhaven_types::ServiceName;
 
 state! {
-    /// Where requests below one path of one host go, and how.
+    /// How requests below a path of one host are handled.
     pub struct Route {
-        /// Its name.
+        /// The route name.
         pub name: String,
-        /// The host that callers name.
+        /// The host that callers request.
         pub host: String,
-        /// Beginning of the path, from slash to slash.
+        /// Path prefix, starting and ending with a slash.
         pub path_prefix: String,
-        /// What may be repeated.
+        /// The form of the answer, and whether a request may be repeated.
         pub kind: RouteKind,
-        /// Longest time that a caller is kept waiting, in milliseconds.
+        /// Maximum time until the answer is complete, in milliseconds.
         pub timeout_ms: u64,
         /// Time within which an answer has its full worth, in milliseconds.
         pub objective_ms: u64,
-        /// Rank among routes, 0 first.
+        /// Rank of its requests, 0 first.
         pub rank: u8,
-        /// Services that share its requests.
+        /// Services that share the requests.
         pub shares: Vec<ServiceShare>,
-        /// Targets that one request may be sent to.
+        /// Maximum number of attempts for one request.
         pub attempts_max: u32,
-        /// Whether callers need no key.
+        /// Whether callers without a key are accepted.
         pub anonymous: bool,
     }
 
-    /// One service's part of a route.
+    /// A service's share of a route.
     pub struct ServiceShare {
         /// The service.
         pub service: ServiceName,
-        /// Its part, relative to the others'.
+        /// Weight relative to the other services of the route.
         pub weight: u32,
     }
 
-    /// What may be repeated of a route's requests.
+    /// The form of an answer, and whether the request may be repeated.
     #[derive(Copy, Eq)]
     pub enum RouteKind {
         /// A plain answer; the request may run more than once.
@@ -43,14 +43,14 @@
         NonIdempotent,
         /// A stream of events.
         Stream {
-            /// Whether another target may go on after the last event delivered.
+            /// Whether another target may continue after the last event delivered.
             resumable: bool,
         },
     }
 }
 
 impl RouteKind {
-    /// Whether a request may run again after one that may have run.
+    /// Whether a request that may have run may be sent again.
     pub const fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
@@ -62,16 +62,16 @@
 }
 
 impl Route {
-    /// The service that a number from 0 to 1 draws by weight.
+    /// Selects a service by weight, from a fraction between 0 and 1.
     pub fn select_service(&self, fraction: f64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
-        let mut rest = (fraction * total as f64) as u64;
+        let mut remaining = (fraction * total as f64) as u64;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if rest < weight {
+            if remaining < weight {
                 return Some(&share.service);
             }
-            rest -= weight;
+            remaining -= weight;
         }
         self.shares.iter().rev().find(|share| share.weight > 0).map(|share| &share.service)
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,12 @@
-//! What a platform tells of routes, models and targets, as domain types without I/O.
+//! Domain types for a platform's routes, models and targets, without I/O.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`config`] | one version of the operators' configuration |
-//! | [`relay`] | what a relay keeps for nodes that ask it instead of the store |
-//! | [`routes`] | which route a request takes, and whose key it carries |
-//! | [`target`] | one listed target, its membership of a replica, the orders it takes |
-//! | [`view`] | all listed targets, and the replicas they report to form |
+//! | [`config`] | the operators' configuration |
+//! | [`relay`] | objects and changes that a relay retains for its followers |
+//! | [`routes`] | lookup of routes and API keys |
+//! | [`target`] | listed targets, their membership of replicas, and the orders they accept |
+//! | [`view`] | all listed targets and the replicas that they report |
 
 pub mod config;
 pub mod relay;
--- a/crates/fleet/src/relay/change_log.rs
+++ b/crates/fleet/src/relay/change_log.rs
@@ -4,57 +4,58 @@
 use celeryhaven_types::store::{Object, ObjectChange, ObjectKey, ObjectVersion};
 use celeryhaven_types::{Set, TimeMs};
 
-/// Changes kept for those who ask for what is new, at least, and for each object; who is further
-/// behind gets the whole list.
-const CHANGES_MIN: usize = 512;
-const CHANGES_PER_OBJECT: usize = 4;
+/// Minimum number of changes retained for incremental answers, in total and for each object. A
+/// follower that is further behind gets the complete list.
+const RETAINED_CHANGES_MIN: usize = 512;
+const RETAINED_CHANGES_PER_OBJECT: usize = 4;
 
 data! {
-    /// What a relay answers.
+    /// The answer of a relay to a follower.
     pub enum RelayAnswer {
-        /// Every object, at a version of the store.
+        /// All objects at a version of the store.
         Listed {
-            /// The version.
+            /// The store version.
             version: ObjectVersion,
-            /// The objects.
+            /// All objects.
             objects: Vec<Object>,
-            /// What is known of the store itself.
+            /// The relay's contact with the store.
             store: StoreContact,
         },
-        /// What has changed since the version asked for, perhaps nothing.
+        /// The changes since the requested version; may be empty.
         Changes {
-            /// The version up to which nothing is missing.
+            /// The version up to which the changes are complete.
             version: ObjectVersion,
-            /// The changes in order.
+            /// The changes, in order.
             changes: Vec<ObjectChange>,
-            /// What is known of the store itself.
+            /// The relay's contact with the store.
             store: StoreContact,
         },
-        /// The relay has not heard of the store lately, or not as directly as was asked for.
+        /// The relay cannot answer: it was not in contact with the store recently, lacks a complete
+        /// list, or is not in direct contact although the follower requires that.
         Stale,
     }
 
-    /// When a relay has heard of the store, and whether that was away.
+    /// How recently a relay was in contact with the store, and whether the store was unavailable
+    /// before.
     #[derive(Copy, Default, Eq)]
     pub struct StoreContact {
-        /// How long ago the store was heard of, in milliseconds.
+        /// Time since the last contact with the store, in milliseconds.
         pub contact_age_ms: u64,
-        /// How long ago the store came back, in milliseconds, if it was away just before.
+        /// Time since the store became available again after an outage, in milliseconds.
         pub returned_ms_ago: Option<u64>,
     }
 }
 
 impl StoreContact {
-    /// An answer of the store itself, which was away just before or not.
+    /// Returns a contact with the store itself, with or without an outage just before.
     pub fn direct(after_outage: bool) -> Self {
         Self { contact_age_ms: 0, returned_ms_ago: after_outage.then_some(0) }
     }
 }
 
-/// The objects of one kind and their last changes, as the store told them.
+/// The objects of one kind and their most recent changes.
 ///
-/// Versions are the store's own, so a node can go on at another relay, or at the store, where it
-/// stopped at this one.
+/// Versions are those of the store, so a follower can continue at another relay or at the store.
 ///
 /// ```
 /// use celeryhaven_fleet::{ChangeLog, RelayAnswer};
@@ -71,48 +72,45 @@
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     version: ObjectVersion,
-    /// Changes up to this version are not kept one by one.
-    kept_from: ObjectVersion,
+    /// The version after which `changes` is complete.
+    complete_since: ObjectVersion,
     objects: BTreeMap<ObjectKey, Object>,
     changes: VecDeque<ObjectChange>,
-    /// Whether `objects` are all there are, and not only what has changed since a gap.
-    is_whole: bool,
+    /// Whether `objects` is complete, rather than only what has changed since a gap.
+    has_full_list: bool,
     contact_at: Option<TimeMs>,
     returned_at: Option<TimeMs>,
 }
 
-/// How long after the store's return its answers count as those after an outage, in milliseconds.
+/// How long a return of the store is reported, in milliseconds.
 ///
-/// Entries that lapsed meanwhile are back within some two seconds, and a follower that heard of no
-/// outage must keep them as long.
-const RETURN_MS: u64 = 2_300;
+/// Followers must retain entries that lapsed during the outage until their owners renew them.
+const RETURN_REPORT_MS: u64 = 2_300;
 
-/// How long a relay may not have heard of the store before it vouches for nothing, in milliseconds.
+/// Maximum age of the last store contact for an answer, in milliseconds.
 ///
-/// A watch of a relay answers at least each second, also while the store is slow; a relay that is cut
-/// off from the store must not hold those that are not.
-const CONTACT_MAX_MS: u64 = 1_500;
+/// A relay that is cut off from the store must not delay followers that can reach it.
+const CONTACT_AGE_MS_MAX: u64 = 1_500;
 
 impl ChangeLog {
-    /// Knows nothing.
+    /// Creates an empty log.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over a whole list of the store.
+    /// Applies a complete list from the store.
     pub fn apply_list(&mut self, version: ObjectVersion, objects: &[Object]) {
         self.version = version;
-        self.kept_from = version;
-        self.is_whole = true;
+        self.complete_since = version;
+        self.has_full_list = true;
         self.changes.clear();
         self.objects = objects.iter().map(|object| (object.key.clone(), object.clone())).collect();
     }
 
-    /// Takes over what has changed since a version, up to another.
+    /// Applies the changes after version `from`, up to `version`.
     ///
-    /// Guards against a log with a gap: a node that follows a relay keeps no log, and may become one
-    /// itself. Were it to go on from its last list, followers that are a little behind would miss what
-    /// it heard in between, such as a target that leaves, and keep it for good.
+    /// If `from` is not the current version, the log has a gap: it drops its earlier changes, and
+    /// answers no list until one is applied.
     pub fn apply_changes(
         &mut self,
         from: ObjectVersion,
@@ -120,9 +118,9 @@
         changes: &[ObjectChange],
     ) {
         if from != self.version {
-            self.is_whole = false;
+            self.has_full_list = false;
             self.changes.clear();
-            self.kept_from = from;
+            self.complete_since = from;
         }
         self.version = self.version.max(version);
         for change in changes {
@@ -138,17 +136,19 @@
             }
             self.changes.push_back(change.clone());
         }
-        let kept_max = CHANGES_MIN.max(self.objects.len() * CHANGES_PER_OBJECT);
-        while self.changes.len() > kept_max {
-            // What was dropped may share its version with what is kept.
-            let dropped = self.changes.pop_front().map_or(self.kept_from, |change| change.version);
-            self.kept_from = self.kept_from.max(dropped);
+        let retained_max =
+            RETAINED_CHANGES_MIN.max(self.objects.len() * RETAINED_CHANGES_PER_OBJECT);
+        while self.changes.len() > retained_max {
+            // A dropped change may share its version with a retained one.
+            let dropped =
+                self.changes.pop_front().map_or(self.complete_since, |change| change.version);
+            self.complete_since = self.complete_since.max(dropped);
         }
     }
 
-    /// Takes over when the store was heard of, by this node or by a relay that this one follows.
+    /// Records a contact with the store, made by this node or by its upstream relay.
     ///
-    /// Times add up along a chain of relays, so that the last one vouches no longer than the first.
+    /// Ages add up along a chain of relays, so a chain confirms no longer than its first relay.
     pub fn record_contact(&mut self, now: TimeMs, store: StoreContact) {
         let at = now.before(store.contact_age_ms);
         self.contact_at = Some(self.contact_at.map_or(at, |before| before.max(at)));
@@ -157,51 +157,51 @@
         }
     }
 
-    fn store(&self, now: TimeMs) -> StoreContact {
+    fn store_contact(&self, now: TimeMs) -> StoreContact {
         let returned_ms_ago = self.returned_at.map(|at| now.since(at));
         StoreContact {
             contact_age_ms: self.contact_at.map_or(u64::MAX, |at| now.since(at)),
-            returned_ms_ago: returned_ms_ago.filter(|&ago_ms| ago_ms < RETURN_MS),
+            returned_ms_ago: returned_ms_ago.filter(|&ago_ms| ago_ms < RETURN_REPORT_MS),
         }
     }
 
-    /// Whether it lacks a list of all objects, which some of those who ask would need.
+    /// Whether the complete list is missing.
     pub fn lacks_list(&self) -> bool {
-        !self.is_whole
+        !self.has_full_list
     }
 
-    /// Whether the store was heard of since this node relays.
+    /// Whether a contact with the store has been recorded since this node became a relay.
     pub fn has_contact(&self) -> bool {
         self.contact_at.is_some()
     }
 
-    /// Forgets that the store was heard of: this node relays no more.
+    /// Clears the recorded contact when this node stops relaying.
     pub fn clear_contact(&mut self) {
         self.contact_at = None;
     }
 
-    /// What is new for a node that has everything up to a version; `None` if nothing is yet.
+    /// Returns the changes after a version, or the complete list if they are not all retained.
+    ///
+    /// `None` if there are no changes, [`RelayAnswer::Stale`] if the last store contact is too old or
+    /// a complete list is needed and missing.
     pub fn changes_since(&self, now: TimeMs, from: Option<ObjectVersion>) -> Option<RelayAnswer> {
-        if self.contact_at.is_none_or(|at| now.since(at) > CONTACT_MAX_MS) {
+        if self.contact_at.is_none_or(|at| now.since(at) > CONTACT_AGE_MS_MAX) {
             return Some(RelayAnswer::Stale);
         }
-        let Some(from) = from.filter(|from| *from >= self.kept_from) else {
-            if !self.is_whole {
+        let Some(from) = from.filter(|from| *from >= self.complete_since) else {
+            if !self.has_full_list {
                 return Some(RelayAnswer::Stale);
             }
             let objects = self.objects.values().cloned().collect();
-            let (version, store) = (self.version, self.store(now));
+            let (version, store) = (self.version, self.store_contact(now));
             return Some(RelayAnswer::Listed { version, objects, store });
         };
         let changes = self.last_changes(from);
-        let (version, store) = (self.version, self.store(now));
+        let (version, store) = (self.version, self.store_contact(now));
         (!changes.is_empty()).then_some(RelayAnswer::Changes { version, changes, store })
     }
 
-    /// The last change of each object after a version, in order.
-    ///
-    /// Load: replicas form, and each of their targets changes several times a second. Harm: a follower
-    /// that asks once a second gets all of that. Limit: what an object has come to is enough.
+    /// Returns the last change of each object after a version, in order.
     fn last_changes(&self, from: ObjectVersion) -> Vec<ObjectChange> {
         let mut seen = Set::default();
         let new = self.changes.iter().rev().take_while(|change| change.version > from);
@@ -210,10 +210,10 @@
         last
     }
 
-    /// The answer to a node for which nothing new has come.
+    /// Returns the answer for a follower whose wait has ended, with no changes if there are none.
     pub fn empty_answer(&self, now: TimeMs, from: ObjectVersion) -> RelayAnswer {
-        let (version, store) = (self.version.max(from), self.store(now));
-        let nothing = RelayAnswer::Changes { version, changes: Vec::new(), store };
-        self.changes_since(now, Some(from)).unwrap_or(nothing)
+        let (version, store) = (self.version.max(from), self.store_contact(now));
+        let empty = RelayAnswer::Changes { version, changes: Vec::new(), store };
+        self.changes_since(now, Some(from)).unwrap_or(empty)
     }
 }
--- a/crates/fleet/src/relay/mod.rs
+++ b/crates/fleet/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! What a relay keeps of a kind of object, for nodes that ask it instead of the store.
+//! Objects and changes that a relay retains for its followers.
 
 mod change_log;
 
--- a/crates/fleet/src/routes/mod.rs
+++ b/crates/fleet/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and whose key it carries.
+//! Lookup of routes and API keys.
 
 mod route_table;
 
--- a/crates/fleet/src/routes/route_table.rs
+++ b/crates/fleet/src/routes/route_table.rs
@@ -4,7 +4,7 @@
 use crate::config::{Configuration, Route};
 
 number! {
-    /// Names a route inside one [`RouteTable`].
+    /// Identifies a route within a [`RouteTable`].
     RouteKey(u32)
 }
 
@@ -33,45 +33,45 @@
 }
 
 impl RouteTable {
-    /// Indexes a configuration.
+    /// Builds the lookup tables for a configuration.
     pub fn new(config: Configuration) -> Self {
         let mut hosts: Map<String, Map<String, RouteKey>> = Map::default();
-        for (place, route) in config.routes.iter().enumerate() {
+        for (index, route) in config.routes.iter().enumerate() {
             let prefixes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
-            prefixes.insert(route.path_prefix.clone(), RouteKey::new(place as u32));
+            prefixes.insert(route.path_prefix.clone(), RouteKey::new(index as u32));
         }
         let holders = config.key_holders.iter().flatten().enumerate();
         let keys = holders
-            .flat_map(|(place, holder)| {
-                holder.keys.iter().map(move |key| (key.clone(), place as u32))
+            .flat_map(|(index, holder)| {
+                holder.keys.iter().map(move |key| (key.clone(), index as u32))
             })
             .collect();
         Self { config, hosts, keys }
     }
 
-    /// The configuration that it was made from.
+    /// Returns the configuration.
     pub fn config(&self) -> &Configuration {
         &self.config
     }
 
-    /// The route of the host whose prefix is the longest that begins the path.
+    /// Returns the route of the host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let prefixes = self.hosts.get(&host)?;
-        let ends = path.char_indices().rev().filter(|&(_, letter)| letter == '/');
-        let key = ends.filter_map(|(place, _)| prefixes.get(&path[..=place])).next()?;
+        let slashes = path.char_indices().rev().filter(|&(_, character)| character == '/');
+        let key = slashes.filter_map(|(index, _)| prefixes.get(&path[..=index])).next()?;
         self.config.routes.get(key.get() as usize)
     }
 
-    /// Whether callers need a key at all.
+    /// Whether callers need a key.
     pub fn needs_keys(&self) -> bool {
         self.config.key_holders.is_some()
     }
 
-    /// The organisation that holds a key, and its own rank if it has one.
+    /// Returns the organisation that holds a key, and its rank if it has one.
     pub fn holder(&self, key: &str) -> Option<(&OrganisationName, Option<u8>)> {
-        let place = *self.keys.get(key)? as usize;
-        let holder = self.config.key_holders.as_ref()?.get(place)?;
+        let index = *self.keys.get(key)? as usize;
+        let holder = self.config.key_holders.as_ref()?.get(index)?;
         Some((&holder.name, holder.rank))
     }
 }
--- a/crates/fleet/src/target/entry.rs
+++ b/crates/fleet/src/target/entry.rs
@@ -6,64 +6,65 @@
 };
 
 state! {
-    /// What the platform lists of one target.
+    /// The platform's listing of one target.
     pub struct TargetEntry {
-        /// Its name; a target that starts again may keep it.
+        /// The name; a restarted target may keep it.
         pub name: VmName,
-        /// The service that it belongs to.
+        /// The service to which it belongs.
         pub service: ServiceName,
-        /// Where it listens.
+        /// The address on which it listens.
         pub address: SocketAddr,
-        /// Its data centre.
+        /// The data centre.
         pub data_centre: DataCentreName,
-        /// Its fabric domain, if it can be a member of a replica.
+        /// The fabric domain, if the target can be a member of a replica.
         pub domain: Option<DomainName>,
-        /// Requests that it runs side by side.
+        /// Maximum number of concurrent requests.
         pub slots: u32,
-        /// Whether it is leaving.
+        /// Whether the target accepts new work.
         pub phase: TargetPhase,
-        /// Start of its process, in Unix milliseconds; another start holds nothing of before.
+        /// Start time of its process, in Unix milliseconds; a restarted process holds no earlier
+        /// state.
         pub started_at_ms: Option<u64>,
-        /// The replica that it belongs to.
+        /// The replica to which it belongs.
         pub membership: Option<Membership>,
-        /// The model that it has in its accelerators.
+        /// The model loaded on its accelerators.
         pub model: Option<ModelName>,
-        /// Models on its host, which load fast.
+        /// Models staged on its host, which load faster.
         pub staged: Vec<ModelName>,
     }
 
-    /// Whether a target takes new work.
+    /// Whether a target accepts new work.
     #[derive(Copy, Eq)]
     pub enum TargetPhase {
-        /// It does.
+        /// Accepts new work.
         Ready,
-        /// It finishes what it has and leaves.
+        /// Completes its work and then leaves.
         Draining,
     }
 
-    /// A target's place in a replica, as it reports it.
+    /// A target's membership of a replica, as reported by the target.
     #[derive(Eq)]
     pub struct Membership {
         /// The replica.
         pub replica: ReplicaName,
-        /// Which formation of it.
+        /// The formation.
         pub generation: Generation,
-        /// Its place; 0 is the head, which takes the requests.
+        /// The rank in the replica; 0 is the head, which takes the requests.
         pub rank: u32,
-        /// How far it is.
+        /// The state of the member.
         pub state: MemberState,
     }
 
-    /// How far a member is.
+    /// The state of a member.
     #[derive(Copy, Eq)]
     pub enum MemberState {
-        /// It loads the model.
+        /// Loading the model.
         Joining,
-        /// It is ready; the head may be opened.
+        /// Ready; the head may be opened.
         Ready,
-        /// The head serves.
+        /// Serving, as the head.
         Open,
-        /// The head finishes its work and then is ready again.
+        /// The head is completing its work, after which it is ready again.
         Closing,
         /// The replica has lost a member.
         Broken,
@@ -71,7 +72,7 @@
 }
 
 impl TargetEntry {
-    /// Whether it can serve no model without a load.
+    /// Whether every model would have to be loaded from the weights store.
     pub fn is_empty(&self) -> bool {
         self.model.is_none() && self.staged.is_empty()
     }
--- a/crates/fleet/src/target/mod.rs
+++ b/crates/fleet/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! One listed target, its membership of a replica, the orders it takes.
+//! Listed targets, their membership of replicas, and the orders they accept.
 
 mod entry;
 mod order;
--- a/crates/fleet/src/target/order.rs
+++ b/crates/fleet/src/target/order.rs
@@ -6,70 +6,71 @@
     pub enum TargetOrder {
         /// Become a member of a replica.
         Join {
-            /// The replica; a name is never used for another list of members.
+            /// The replica; a name is never reused for a different list of members.
             replica: ReplicaName,
-            /// Targets refuse one that is lower than they have seen.
+            /// The formation; targets refuse one lower than they have seen.
             generation: Generation,
             /// The model to serve.
             model: ModelName,
             /// All members; the first is the head.
             members: Vec<VmName>,
         },
-        /// The head begins to serve.
+        /// Start to serve, sent to the head.
         Open {
             /// The replica.
             replica: ReplicaName,
-            /// Its formation.
+            /// The formation.
             generation: Generation,
         },
-        /// The head stops to serve.
+        /// Stop serving, sent to the head.
         Close {
             /// The replica.
             replica: ReplicaName,
-            /// Its formation.
+            /// The formation.
             generation: Generation,
-            /// What becomes of its work.
+            /// How to handle requests in progress.
             mode: CloseMode,
         },
         /// Leave the replica at once.
         Leave {
             /// The replica.
             replica: ReplicaName,
-            /// Its formation.
+            /// The formation.
             generation: Generation,
         },
-        /// Load a model onto the host, beside all other work.
+        /// Load a model onto the host without affecting other work.
         Stage {
             /// The model.
             model: ModelName,
         },
     }
 
-    /// What a head does with its work when it is closed.
+    /// How a head handles its requests when it is closed.
     #[derive(Copy, Eq)]
     pub enum CloseMode {
-        /// It finishes what it has.
+        /// Complete the requests.
         Finish,
-        /// It breaks off what it has.
+        /// Abort the requests.
         Abort,
     }
 
-    /// What became of an order.
+    /// The outcome of an order.
     #[derive(Copy, Eq)]
     pub enum OrderOutcome {
-        /// It has begun, is done, or held already.
+        /// The target has carried out the order, has started to, or was already in that state.
         Accepted,
-        /// It does not fit the target's state, or is older than what the target has seen.
+        /// The order does not fit the target's state, or its generation is older than one already
+        /// seen.
         Refused,
-        /// Another target has the address, or nothing listens there: the target is gone.
+        /// Another target has the address, or nothing listens there.
         TargetRemoved,
-        /// No answer: it may have been accepted, or may be carried out later.
+        /// No answer: the order may have been accepted, or may still be carried out.
         Unanswered,
     }
 }
 
 impl TargetOrder {
-    /// The word used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Join { .. } => "join",
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The replica that it is about.
+    /// Returns the replica that the order names.
     pub const fn replica(&self) -> Option<&ReplicaName> {
         match self {
             Self::Join { replica, .. }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// The model that the target is to serve or load.
+    /// Returns the model to serve or load.
     pub const fn model(&self) -> Option<&ModelName> {
         match self {
             Self::Join { model, .. } | Self::Stage { model } => Some(model),
@@ -101,7 +102,7 @@
 }
 
 impl OrderOutcome {
-    /// The word used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
--- a/crates/fleet/src/view/domain_targets.rs
+++ b/crates/fleet/src/view/domain_targets.rs
@@ -4,7 +4,7 @@
 
 use crate::target::{TargetEntry, TargetPhase};
 
-/// The listed targets of one fabric domain, and what they are counted by.
+/// The listed targets of one fabric domain, with counts.
 #[derive(Clone, Debug, Default)]
 pub struct DomainTargets {
     names: BTreeSet<VmName>,
@@ -13,17 +13,17 @@
 }
 
 impl DomainTargets {
-    /// Their names, in order.
+    /// Returns the names in order.
     pub fn names(&self) -> &BTreeSet<VmName> {
         &self.names
     }
 
-    /// How many take new work.
+    /// Returns the number of targets that accept new work.
     pub fn ready(&self) -> usize {
         self.ready
     }
 
-    /// How many can serve no model without a load.
+    /// Returns the number of targets with no model loaded or staged.
     pub fn empty(&self) -> usize {
         self.empty
     }
--- a/crates/fleet/src/view/fleet_view.rs
+++ b/crates/fleet/src/view/fleet_view.rs
@@ -6,19 +6,16 @@
 use crate::view::replica_index::ReplicaIndex;
 use crate::view::{DomainTargets, Replica, ReplicaKey};
 
-/// How long an entry that was removed is remembered, in milliseconds.
+/// How long a removed entry is retained, in milliseconds.
 ///
-/// A target that leaves without a word serves on for seconds after its entry is gone, and must
-/// still be asked and told.
-const DEPARTED_MS: u64 = 15_000;
+/// A target may continue to serve for seconds after its entry was removed, and must remain
+/// reachable for probes and orders.
+const REMOVED_RETENTION_MS: u64 = 15_000;
 
 /// All targets that the platform lists.
 ///
-/// Entries lapse while the platform's store is away, also of targets that live; they are back
-/// within some two seconds of its return. Until then a lapsed entry stays as it was.
-///
-/// What is asked of it often is kept up to date with each entry: replicas, and the targets of each
-/// domain.
+/// After a store outage, lapsed entries of live targets are retained until their owners have had
+/// time to renew them. Replicas and the targets of each domain are updated incrementally.
 ///
 /// ```
 /// use celeryhaven_fleet::FleetView;
@@ -31,24 +28,24 @@
 pub struct FleetView {
     targets: BTreeMap<VmName, TargetEntry>,
     lapsed: BTreeMap<VmName, TimeMs>,
-    departed: BTreeMap<VmName, (TargetEntry, TimeMs)>,
-    grace_until: Option<TimeMs>,
+    recently_removed: BTreeMap<VmName, (TargetEntry, TimeMs)>,
+    lapsed_until: Option<TimeMs>,
     replicas: ReplicaIndex,
     domains: BTreeMap<ServiceName, BTreeMap<DomainName, DomainTargets>>,
 }
 
 impl FleetView {
-    /// A view without targets.
+    /// Creates an empty view.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps entries that lapse until then: the store was away and has just come back.
+    /// Retains lapsed entries until this time, after a store outage.
     pub fn keep_lapsed_until(&mut self, until: TimeMs) {
-        self.grace_until = Some(until);
+        self.lapsed_until = Some(until);
     }
 
-    /// Takes over a whole list; true if anything has changed.
+    /// Applies a complete list; returns true if anything has changed.
     pub fn replace(&mut self, now: TimeMs, entries: Vec<TargetEntry>) -> bool {
         let listed: Set<VmName> = entries.iter().map(|entry| entry.name.clone()).collect();
         let missing: Vec<_> =
@@ -57,42 +54,43 @@
         missing.iter().fold(put, |changed, name| changed | self.remove(now, name))
     }
 
-    /// Takes over one entry; true if it has changed.
+    /// Applies one entry; returns true if it has changed.
     pub fn put(&mut self, entry: TargetEntry) -> bool {
         let name = entry.name.clone();
         self.lapsed.remove(&name);
-        self.departed.remove(&name);
+        self.recently_removed.remove(&name);
         if self.targets.get(&name) == Some(&entry) {
             return false;
         }
         let before = self.targets.insert(name.clone(), entry);
-        self.index(&name, before.as_ref());
+        self.update_indexes(&name, before.as_ref());
         true
     }
 
-    /// Removes an entry, at once or when the grace is over; true if it was removed at once.
+    /// Removes an entry, or marks it as lapsed during the grace period; returns true if it was
+    /// removed.
     pub fn remove(&mut self, now: TimeMs, name: &VmName) -> bool {
-        match self.grace_until.filter(|&until| now < until) {
+        match self.lapsed_until.filter(|&until| now < until) {
             Some(until) if self.targets.contains_key(name) => {
                 self.lapsed.entry(name.clone()).or_insert(until);
                 false
             }
-            _ => self.depart(now, name),
+            _ => self.remove_now(now, name),
         }
     }
 
-    fn depart(&mut self, now: TimeMs, name: &VmName) -> bool {
+    fn remove_now(&mut self, now: TimeMs, name: &VmName) -> bool {
         self.lapsed.remove(name);
         let Some(entry) = self.targets.remove(name) else { return false };
-        self.index(name, Some(&entry));
-        self.departed.insert(name.clone(), (entry, now.after(DEPARTED_MS)));
+        self.update_indexes(name, Some(&entry));
+        self.recently_removed.insert(name.clone(), (entry, now.after(REMOVED_RETENTION_MS)));
         true
     }
 
-    /// Brings what is kept of a target up to date after its entry has changed.
-    fn index(&mut self, name: &VmName, before: Option<&TargetEntry>) {
+    /// Updates the replica and domain indexes after a change of a target's entry.
+    fn update_indexes(&mut self, name: &VmName, before: Option<&TargetEntry>) {
         let after = self.targets.get(name);
-        self.replicas.changed(&self.targets, before, after);
+        self.replicas.apply_entry_change(&self.targets, before, after);
         if let Some((entry, domain)) = before.and_then(with_domain)
             && let Some(domains) = self.domains.get_mut(&entry.service)
             && let Some(targets) = domains.get_mut(domain)
@@ -108,52 +106,52 @@
         }
     }
 
-    /// Removes what has stayed away beyond the grace; true if anything was.
+    /// Removes lapsed entries after the grace period; returns true if any were removed.
     pub fn expire(&mut self, now: TimeMs) -> bool {
-        let gone: Vec<_> = self
+        let expired: Vec<_> = self
             .lapsed
             .iter()
             .filter(|&(_, &until)| until <= now)
             .map(|(name, _)| name.clone())
             .collect();
-        gone.iter().for_each(|name| {
-            self.depart(now, name);
+        expired.iter().for_each(|name| {
+            self.remove_now(now, name);
         });
-        self.departed.retain(|_, (_, until)| *until > now);
-        !gone.is_empty()
+        self.recently_removed.retain(|_, (_, until)| *until > now);
+        !expired.is_empty()
     }
 
-    /// Whether an entry is kept although it has lapsed.
+    /// Whether the entry has lapsed and is retained for the grace period.
     pub fn is_lapsed(&self, name: &VmName) -> bool {
         self.lapsed.contains_key(name)
     }
 
-    /// One target.
+    /// Returns the target with this name.
     pub fn target(&self, name: &VmName) -> Option<&TargetEntry> {
         self.targets.get(name)
     }
 
-    /// One target, also if its entry was removed some seconds ago.
+    /// Returns the target with this name, including one that was removed recently.
     pub fn target_or_removed(&self, name: &VmName) -> Option<&TargetEntry> {
-        self.target(name).or_else(|| self.departed.get(name).map(|(entry, _)| entry))
+        self.target(name).or_else(|| self.recently_removed.get(name).map(|(entry, _)| entry))
     }
 
-    /// Every target, by name.
+    /// Iterates over all targets by name.
     pub fn targets(&self) -> impl Iterator<Item = &TargetEntry> {
         self.targets.values()
     }
 
-    /// Every replica that a member names, by name and generation.
+    /// Returns the replicas that members currently report, by name and generation.
     pub fn replicas(&self) -> &BTreeMap<ReplicaKey, Replica> {
         self.replicas.replicas()
     }
 
-    /// Replicas that a member names or has named lately.
+    /// Returns the replicas that members report or have reported before, up to a limit.
     pub fn reported_replicas(&self) -> &BTreeSet<ReplicaKey> {
         self.replicas.reported()
     }
 
-    /// The fabric domains of a service's targets, by name.
+    /// Iterates over the fabric domains of a service by name.
     pub fn domains(
         &self,
         service: &ServiceName,
--- a/crates/fleet/src/view/mod.rs
+++ b/crates/fleet/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! All listed targets, and the replicas they report to form.
+//! All listed targets and the replicas that they report.
 
 mod domain_targets;
 mod fleet_view;
--- a/crates/fleet/src/view/replica.rs
+++ b/crates/fleet/src/view/replica.rs
@@ -4,35 +4,35 @@
 use crate::target::{MemberState, TargetEntry, TargetPhase};
 
 data! {
-    /// One formation of a replica.
+    /// Identifies one formation of a replica.
     #[derive(Eq, Hash, PartialOrd, Ord)]
     pub struct ReplicaKey {
-        /// Its name.
+        /// The replica name.
         pub replica: ReplicaName,
-        /// Its generation.
+        /// The generation of the formation.
         pub generation: Generation,
     }
 }
 
 state! {
-    /// A replica as its members report it.
+    /// A replica as reported by its members.
     #[derive(Eq)]
     pub struct Replica {
-        /// Which formation.
+        /// The formation.
         pub key: ReplicaKey,
         /// The service of its members.
         pub service: ServiceName,
-        /// Its domain.
+        /// The fabric domain.
         pub domain: Option<DomainName>,
-        /// The model, once a member names it.
+        /// The model, once a member reports it.
         pub model: Option<ModelName>,
-        /// Listed members by rank; a gap is a member that is not listed any more.
+        /// Listed members by rank; `None` for a rank without a listed member.
         pub members: Vec<Option<VmName>>,
         /// State of the head; `None` if it is not listed.
         pub head_state: Option<MemberState>,
-        /// Whether every listed member is ready, or the head beyond that.
+        /// Whether every listed member is ready or open.
         pub all_ready: bool,
-        /// Whether a member is leaving.
+        /// Whether a member is draining.
         pub draining: bool,
     }
 }
@@ -64,20 +64,19 @@
         self.all_ready &= matches!(state, MemberState::Ready | MemberState::Open);
     }
 
-    /// The member that takes the requests, if it is listed.
+    /// Returns the member that takes the requests, if it is listed.
     pub fn head(&self) -> Option<&VmName> {
         self.members.first()?.as_ref()
     }
 
-    /// Whether all members of a model of this size are listed.
+    /// Whether the replica has `size` members and all of them are listed.
     pub fn is_complete(&self, size: usize) -> bool {
         self.members.len() == size && self.members.iter().all(Option::is_some)
     }
 
-    /// Whether it serves with all its members.
+    /// Whether the replica serves with all `size` members.
     ///
-    /// Guards against requests to a replica that has lost a member: its head goes on taking them
-    /// and answers none. A missing, leaving or disagreeing member makes it unroutable at once.
+    /// The head of a replica that lost a member may accept requests that it cannot answer.
     pub fn is_whole(&self, size: usize) -> bool {
         self.is_complete(size)
             && self.all_ready
--- a/crates/fleet/src/view/replica_index.rs
+++ b/crates/fleet/src/view/replica_index.rs
@@ -5,41 +5,35 @@
 use crate::target::TargetEntry;
 use crate::view::{Replica, ReplicaKey};
 
-/// Highest rank that a report may name.
-///
-/// Guards against a report of nonsense that would make a list of members of any length.
+/// Highest accepted rank; an invalid report must not allocate an arbitrarily long member list.
 const RANK_MAX: u32 = 64;
 
-/// Replicas that are remembered after no member names them any more.
+/// Maximum number of replicas retained after their members stop reporting them.
 ///
-/// Who takes a domain over tells old plans from new ones by them; a record holds some tens.
-const SHOWN_MAX: usize = 4_096;
+/// A new coordinator uses them to tell earlier plans from unlisted ones.
+const REPORTED_MAX: usize = 4_096;
 
-/// The replicas that targets report to form, kept up to date with each entry.
-///
-/// Load: hundreds of targets, of which a few change at a time. Harm: to collect all replicas anew at
-/// each change takes a node time that grows with the fleet. Limit: a change touches the replica that
-/// a target leaves and the one that it joins.
+/// The replicas that targets report, updated incrementally as entries change.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicaIndex {
     members: BTreeMap<ReplicaKey, BTreeSet<VmName>>,
     replicas: BTreeMap<ReplicaKey, Replica>,
-    shown: BTreeSet<ReplicaKey>,
+    reported: BTreeSet<ReplicaKey>,
 }
 
 impl ReplicaIndex {
-    /// Every replica that a member names.
+    /// Returns the replicas that members currently report.
     pub(crate) fn replicas(&self) -> &BTreeMap<ReplicaKey, Replica> {
         &self.replicas
     }
 
-    /// Replicas that a member names or has named lately.
+    /// Returns the replicas that members report or have reported before, up to a limit.
     pub(crate) fn reported(&self) -> &BTreeSet<ReplicaKey> {
-        &self.shown
+        &self.reported
     }
 
-    /// Takes over that a target's entry has changed from one to another.
-    pub(crate) fn changed(
+    /// Applies a change of a target's entry.
+    pub(crate) fn apply_entry_change(
         &mut self,
         targets: &BTreeMap<VmName, TargetEntry>,
         before: Option<&TargetEntry>,
@@ -53,7 +47,7 @@
         }
         if let (Some(key), Some(entry)) = (&joined, after) {
             self.members.entry(key.clone()).or_default().insert(entry.name.clone());
-            self.note_shown(key);
+            self.record_reported(key);
         }
         if left != joined {
             left.iter().for_each(|key| self.rebuild(targets, key));
@@ -78,18 +72,18 @@
         self.replicas.insert(key.clone(), replica);
     }
 
-    fn note_shown(&mut self, key: &ReplicaKey) {
-        if !self.shown.insert(key.clone()) || self.shown.len() <= SHOWN_MAX {
+    fn record_reported(&mut self, key: &ReplicaKey) {
+        if !self.reported.insert(key.clone()) || self.reported.len() <= REPORTED_MAX {
             return;
         }
-        let oldest = self.shown.iter().min_by_key(|key| key.generation).cloned();
+        let oldest = self.reported.iter().min_by_key(|key| key.generation).cloned();
         oldest.iter().for_each(|key| {
-            self.shown.remove(key);
+            self.reported.remove(key);
         });
     }
 }
 
-/// The replica that an entry names.
+/// Returns the replica that an entry names.
 fn replica_of(entry: &TargetEntry) -> Option<ReplicaKey> {
     let membership = entry.membership.as_ref().filter(|named| named.rank <= RANK_MAX)?;
     let replica = membership.replica.clone();
--- a/crates/fleet/tests/fleet_view.rs
+++ b/crates/fleet/tests/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What a view keeps up to date entry by entry is what all entries together say.
+//! A view updated entry by entry equals one built from all entries.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Which targets are in which replica, by their entries alone.
+/// Returns the members of each replica, computed from the entries alone.
 fn members_by_entries(fleet: &FleetView) -> BTreeMap<ReplicaKey, BTreeSet<VmName>> {
     let mut members: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
     for entry in fleet.targets() {
@@ -57,16 +57,16 @@
     members
 }
 
-/// A view that learnt all entries at once, in the order of their names.
-fn anew(fleet: &FleetView) -> FleetView {
-    let mut fresh = FleetView::new();
-    fresh.replace(NOW, fleet.targets().cloned().collect());
-    fresh
+/// Returns a view built from all entries at once.
+fn rebuilt(fleet: &FleetView) -> FleetView {
+    let mut view = FleetView::new();
+    view.replace(NOW, fleet.targets().cloned().collect());
+    view
 }
 
-type Counted = (ServiceName, DomainName, usize, usize, usize);
+type DomainCounts = (ServiceName, DomainName, usize, usize, usize);
 
-fn domains(fleet: &FleetView) -> Vec<Counted> {
+fn domains(fleet: &FleetView) -> Vec<DomainCounts> {
     let services: BTreeSet<_> = fleet.targets().map(|entry| entry.service.clone()).collect();
     let of = |service: &ServiceName| {
         let count = |(domain, targets): (&DomainName, &celeryhaven_fleet::DomainTargets)| {
@@ -78,8 +78,8 @@
     services.iter().flat_map(of).collect()
 }
 
-/// The same counts, from the entries alone.
-fn domains_by_entries(fleet: &FleetView) -> Vec<Counted> {
+/// Returns the same counts, computed from the entries alone.
+fn domains_by_entries(fleet: &FleetView) -> Vec<DomainCounts> {
     let mut counted: BTreeMap<(ServiceName, DomainName), (usize, usize, usize)> = BTreeMap::new();
     for entry in fleet.targets() {
         let Some(domain) = &entry.domain else { continue };
@@ -91,11 +91,9 @@
     counted.into_iter().map(|((s, d), (names, ready, empty))| (s, d, names, ready, empty)).collect()
 }
 
-/// A node hears of entries one by one, for hours. Were a replica or a domain left as it was before
-/// one of them, requests would go to a replica that has lost a member, or a target would count as
-/// free that is taken: what is kept must be what a node knows that reads the whole list.
+/// Guards against replicas and domains that are outdated after incremental changes.
 #[test]
-fn put_remove_as_read_anew() {
+fn put_remove_match_full_list() {
     for seed in 0..200 {
         let mut random = Gen::from_size_and_seed(10, seed);
         let mut fleet = FleetView::new();
@@ -113,15 +111,14 @@
             };
             let by_entries: Vec<_> = members_by_entries(&fleet).into_keys().collect();
             assert_eq!(members(fleet.replicas()), by_entries, "seed {seed}");
-            assert_eq!(fleet.replicas(), anew(&fleet).replicas(), "seed {seed}");
+            assert_eq!(fleet.replicas(), rebuilt(&fleet).replicas(), "seed {seed}");
             assert_eq!(domains(&fleet), domains_by_entries(&fleet), "seed {seed}");
             assert!(fleet.replicas().keys().all(|key| fleet.reported_replicas().contains(key)));
         }
     }
 }
 
-/// The same entry comes again, as when a relay tells what the store told before. Nothing has
-/// changed, so nothing that follows from it is done again.
+/// Guards against repeated work when an unchanged entry is received again.
 #[test]
 fn put_same_entry_changes_nothing() {
     let mut fleet = FleetView::new();
--- a/crates/fleet/tests/relay.rs
+++ b/crates/fleet/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A relay's log tells each node exactly what it lacks.
+//! A relay's change log gives each follower exactly the changes it lacks.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -19,15 +19,15 @@
     }
 }
 
-/// A log that has just heard a list without objects from the store.
-fn listed(version: u64) -> ChangeLog {
+/// A log with an empty list and a recent contact with the store.
+fn log_with_empty_list(version: u64) -> ChangeLog {
     let mut log = ChangeLog::new();
     log.apply_list(ObjectVersion::new(version), &[]);
     log.record_contact(NOW, StoreContact::direct(false));
     log
 }
 
-/// A node that follows relays, and what it believes.
+/// A follower of relays, and its copy of the objects.
 #[derive(Default)]
 struct Follower {
     from: Option<ObjectVersion>,
@@ -35,7 +35,7 @@
 }
 
 impl Follower {
-    fn take(&mut self, answer: RelayAnswer) {
+    fn apply(&mut self, answer: RelayAnswer) {
         match answer {
             RelayAnswer::Stale => {}
             RelayAnswer::Listed { version, objects, .. } => {
@@ -56,13 +56,14 @@
     }
 }
 
-/// Two relays hear the same changes in other portions, and a follower goes from one to the other at
-/// random. Whenever it has caught up, it holds what the store holds: nothing missed, nothing old.
+/// Guards against missed or outdated objects when a follower switches between relays that receive
+/// the same changes in different batches.
 #[test]
 fn relay_followers_agree_with_store() {
     for seed in 0..200 {
         let mut random = Gen::from_size_and_seed(20, seed);
-        let (mut logs, mut pending) = ([listed(1), listed(1)], [vec![], vec![]]);
+        let (mut logs, mut pending) =
+            ([log_with_empty_list(1), log_with_empty_list(1)], [vec![], vec![]]);
         let mut at = [ObjectVersion::new(1); 2];
         let mut store: BTreeMap<ObjectKey, String> = BTreeMap::new();
         let mut follower = Follower::default();
@@ -84,7 +85,7 @@
             if u8::arbitrary(&mut random) < 40 {
                 let log = &logs[usize::arbitrary(&mut random) % 2];
                 if let Some(answer) = log.changes_since(NOW, follower.from) {
-                    follower.take(answer);
+                    follower.apply(answer);
                 }
             }
         }
@@ -92,25 +93,26 @@
             log.apply_changes(at, ObjectVersion::new(1_199), &std::mem::take(pending));
         }
         if let Some(answer) = logs[0].changes_since(NOW, follower.from) {
-            follower.take(answer);
+            follower.apply(answer);
         }
         assert_eq!(follower.objects, store, "seed {seed}");
     }
 }
 
-/// A relay is cut off from the store. It must not hold its followers, who may reach the store.
+/// Guards against a relay that is cut off from the store and still confirms the state of its
+/// followers.
 #[test]
 fn relay_cut_off_vouches_for_nothing() {
-    let log = listed(5);
+    let log = log_with_empty_list(5);
     let later = NOW.after(4_000);
     assert_eq!(log.changes_since(later, Some(ObjectVersion::new(5))), Some(RelayAnswer::Stale));
     assert_eq!(log.empty_answer(later, ObjectVersion::new(5)), RelayAnswer::Stale);
 }
 
-/// A follower was at a relay that is ahead of this one. It keeps its place and gets nothing twice.
+/// Guards against repeated changes for a follower that is ahead of the relay.
 #[test]
 fn relay_behind_its_follower() {
-    let mut log = listed(5);
+    let mut log = log_with_empty_list(5);
     log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, Some("1"))]);
     let ahead = ObjectVersion::new(9);
     assert_eq!(log.changes_since(NOW, Some(ahead)), None);
@@ -120,30 +122,28 @@
     assert_eq!((version, changes.len()), (ahead, 0));
 }
 
-/// The store was away and entries lapsed meanwhile. A follower that heard of no outage must learn of
-/// it with the removals, or it drops targets that are back two seconds later.
+/// Guards against followers that remove entries which lapsed during a store outage that they did
+/// not observe.
 #[test]
 fn relay_tells_of_outage() {
-    let mut log = listed(5);
+    let mut log = log_with_empty_list(5);
     log.record_contact(NOW, StoreContact::direct(true));
     log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, None)]);
-    let told =
+    let reported =
         |log: &ChangeLog, at| match log.changes_since(at, Some(ObjectVersion::new(5))).unwrap() {
             RelayAnswer::Changes { store, .. } => store.returned_ms_ago,
             _ => panic!("not the changes"),
         };
-    assert_eq!(told(&log, NOW.after(1_000)), Some(1_000));
+    assert_eq!(reported(&log, NOW.after(1_000)), Some(1_000));
     let later = NOW.after(3_000);
     log.record_contact(later, StoreContact::direct(false));
-    assert_eq!(told(&log, later), None);
+    assert_eq!(reported(&log, later), None);
 }
 
-/// A relay follows another one, which is cut off from the store. Were each to vouch for a time of its
-/// own, a node at the end of the chain would hold a revoked key for the sum of them: what the last
-/// one vouches for ends when the first one's does.
+/// Guards against a chain of relays that confirms its state for longer than its first relay does.
 #[test]
 fn relay_chain_vouches_no_longer() {
-    let first = listed(5);
+    let first = log_with_empty_list(5);
     let mut second = ChangeLog::new();
     let version = ObjectVersion::new(5);
     let asked_at = NOW.after(1_000);
@@ -157,11 +157,10 @@
     assert_eq!(second.changes_since(NOW.after(1_600), Some(version)), Some(RelayAnswer::Stale));
 }
 
-/// The store comes back and a chain of relays tells so. Entries that lapsed are kept for a while
-/// after its return, and not for that while after each hop, or requests go to targets that are gone.
+/// Guards against an age of the store's return that restarts at each relay of a chain.
 #[test]
-fn relay_chain_tells_when_store_returned() {
-    let mut first = listed(5);
+fn relay_chain_reports_store_return() {
+    let mut first = log_with_empty_list(5);
     first.record_contact(NOW, StoreContact::direct(true));
     let mut second = ChangeLog::new();
     let RelayAnswer::Changes { store, .. } =
@@ -171,17 +170,16 @@
     };
     second.apply_list(ObjectVersion::new(5), &[]);
     second.record_contact(NOW.after(1_200), store);
-    let told = second.empty_answer(NOW.after(1_400), ObjectVersion::new(5));
-    let RelayAnswer::Changes { store, .. } = told else { panic!("not the changes") };
+    let reported = second.empty_answer(NOW.after(1_400), ObjectVersion::new(5));
+    let RelayAnswer::Changes { store, .. } = reported else { panic!("not the changes") };
     assert_eq!(store.returned_ms_ago, Some(1_400));
 }
 
-/// A node has followed a relay and becomes one itself. It has heard of versions up to 8 and kept none of
-/// them. Who is at version 6 must not be told that only what came after 8 has changed, and who needs
-/// the whole list must not get what this node listed long ago.
+/// Guards against missed changes and outdated lists after a node has skipped versions, as it does
+/// when it follows a relay before it becomes one.
 #[test]
-fn changed_after_a_gap() {
-    let mut log = listed(5);
+fn apply_changes_after_gap() {
+    let mut log = log_with_empty_list(5);
     let (from, version) = (ObjectVersion::new(8), ObjectVersion::new(9));
     log.apply_changes(from, version, &[change("a", 9, Some("1"))]);
     log.record_contact(NOW, StoreContact::direct(false));
@@ -197,10 +195,10 @@
     assert!(matches!(log.changes_since(NOW, None), Some(RelayAnswer::Listed { .. })));
 }
 
-/// Guards against followers that get every step of a target that has changed many times.
+/// Guards against followers that receive every intermediate state of an object.
 #[test]
-fn since_last_change_of_each() {
-    let mut log = listed(10);
+fn changes_since_last_of_each_object() {
+    let mut log = log_with_empty_list(10);
     let changes: Vec<_> = (11..61)
         .map(|version| change(if version % 2 == 0 { "a" } else { "b" }, version, Some("{}")))
         .collect();
@@ -214,10 +212,10 @@
     assert_eq!(versions, [59, 60]);
 }
 
-/// Guards against whole lists for every follower while many targets change.
+/// Guards against complete lists for all followers while many objects change.
 #[test]
-fn since_many_objects_changed() {
-    let mut log = listed(10);
+fn changes_since_many_objects() {
+    let mut log = log_with_empty_list(10);
     let changes: Vec<_> =
         (0..2_000).map(|number| change(&format!("vm-{number}"), 11 + number, Some("{}"))).collect();
     log.apply_changes(ObjectVersion::new(10), ObjectVersion::new(2_010), &changes);
