--- a/crates/fleet/tests/relay.rs
+++ b/crates/fleet/tests/relay.rs
@@ -102,7 +102,7 @@
 /// Guards against a relay that is cut off from the store and still confirms the state of its
 /// followers.
 #[test]
-fn relay_cut_off_vouches_for_nothing() {
+fn relay_cut_off_answers_stale() {
     let log = log_with_empty_list(5);
     let later = NOW.after(4_000);
     assert_eq!(log.changes_since(later, Some(ObjectVersion::new(5))), Some(RelayAnswer::Stale));
@@ -111,7 +111,7 @@
 
 /// Guards against repeated changes for a follower that is ahead of the relay.
 #[test]
-fn relay_behind_its_follower() {
+fn relay_behind_follower() {
     let mut log = log_with_empty_list(5);
     log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, Some("1"))]);
     let ahead = ObjectVersion::new(9);
@@ -125,7 +125,7 @@
 /// Guards against followers that remove entries which lapsed during a store outage that they did
 /// not observe.
 #[test]
-fn relay_tells_of_outage() {
+fn relay_reports_outage() {
     let mut log = log_with_empty_list(5);
     log.record_contact(NOW, StoreContact::direct(true));
     log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, None)]);
@@ -142,7 +142,7 @@
 
 /// Guards against a chain of relays that confirms its state for longer than its first relay does.
 #[test]
-fn relay_chain_vouches_no_longer() {
+fn relay_chain_adds_contact_ages() {
     let first = log_with_empty_list(5);
     let mut second = ChangeLog::new();
     let version = ObjectVersion::new(5);
