--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use celeryhaven_http::{Channel, ChannelError};
+use celeryhaven_http::{Connection, ConnectionError};
 use celeryhaven_types::Verdict;
 use http::{Request, Response};
 use http_body_util::Full;
@@ -60,7 +60,7 @@
 
     /// Sends on a pooled connection, and on a new one if the target had already closed the pooled
     /// one.
-    async fn send(&mut self) -> Result<(Channel, Response<Incoming>), AttemptOutcome> {
+    async fn send(&mut self) -> Result<(Connection, Response<Incoming>), AttemptOutcome> {
         let channels = self.exchange.dispatcher.channels.clone();
         let address = self.destination.address;
         let (channel, is_new) =
@@ -81,13 +81,13 @@
 
     async fn send_on(
         &mut self,
-        mut channel: Channel,
-    ) -> Result<(Channel, Response<Incoming>), SendError> {
+        mut channel: Connection,
+    ) -> Result<(Connection, Response<Incoming>), SendError> {
         let request = self.build_request();
         let answer = self.exchange.unless_interrupted(channel.send(request)).await;
         match answer {
             Ok(Ok(response)) => Ok((channel, response)),
-            Ok(Err(ChannelError::Ended)) => Err(SendError::NotSent),
+            Ok(Err(ConnectionError::Closed)) => Err(SendError::NotSent),
             Ok(Err(error)) => {
                 self.log_failure(&error);
                 Err(SendError::Ended(AttemptOutcome::Failed(error.verdict())))
@@ -99,7 +99,7 @@
     /// Waits for a connection; without one, the request has not run.
     async fn connect_or_fail<T>(
         &mut self,
-        connect: impl Future<Output = Result<T, ChannelError>>,
+        connect: impl Future<Output = Result<T, ConnectionError>>,
     ) -> Result<T, AttemptOutcome> {
         match self.exchange.unless_interrupted(connect).await {
             Ok(Ok(connected)) => Ok(connected),
@@ -157,7 +157,7 @@
         AttemptOutcome::Failed(Verdict::NotRun)
     }
 
-    fn log_failure(&self, error: &ChannelError) {
+    fn log_failure(&self, error: &ConnectionError) {
         info!(self.exchange.dispatcher.log, "attempt broken";
             "request_id" => self.exchange.request.id(),
             "target" => self.destination.target.as_str(),
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -155,8 +155,8 @@
         };
         match outcome {
             AttemptOutcome::Answered => {
-                self.dispatcher.completed(self.ticket, self.splitter.events(), &self.request);
-                self.complete("answered", self.splitter.events());
+                self.dispatcher.completed(self.ticket, self.splitter.event_count(), &self.request);
+                self.complete("answered", self.splitter.event_count());
                 true
             }
             AttemptOutcome::Interrupted(Interrupt::Deadline) => {
@@ -200,7 +200,7 @@
     async fn refuse(&mut self, refusal: Refusal) {
         if self.sink.head_sent() {
             // Dropping the sink without an end mark makes the caller see a truncated answer.
-            return self.complete("broken off", self.splitter.events());
+            return self.complete("broken off", self.splitter.event_count());
         }
         if let Some((parts, body)) = self.failed_answer.take() {
             self.sink.send_head(AnswerParts { body: Some(body), ..parts }).await;
@@ -239,7 +239,7 @@
 
     fn log_completed(&self, outcome: &'static str, events: u32) {
         let now = self.dispatcher.now();
-        self.dispatcher.metrics.ended(outcome, now.since(self.request.arrived_at));
+        self.dispatcher.metrics.record_request(outcome, now.since(self.request.arrived_at));
         info!(self.dispatcher.log, "request ended";
             "request_id" => self.request.id(),
             "route" => &self.request.route.name,
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -1,5 +1,5 @@
 use bytes::{Bytes, BytesMut};
-use celeryhaven_http::Channel;
+use celeryhaven_http::Connection;
 use celeryhaven_types::Verdict;
 use http::{Response, StatusCode};
 use http_body_util::BodyExt;
@@ -27,7 +27,7 @@
     /// Forwards a target's answer to the caller.
     pub(crate) async fn forward(
         &mut self,
-        channel: Channel,
+        channel: Connection,
         response: Response<Incoming>,
         head: AnswerHead,
     ) -> AttemptOutcome {
@@ -181,8 +181,8 @@
     }
 
     /// Returns the connection to the pool once its exchange is complete.
-    async fn pool_channel(&self, mut channel: Channel, head: &AnswerHead) {
-        if channel.settle().await {
+    async fn pool_channel(&self, mut channel: Connection, head: &AnswerHead) {
+        if channel.wait_idle().await {
             let channels = &self.exchange.dispatcher.channels;
             channels.put(self.destination.address, channel, Self::idle_timeout(head));
         }
--- /dev/null
+++ b/crates/http/src/client/connection.rs
@@ -0,0 +1,83 @@
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+use async_io::Async;
+use bytes::Bytes;
+use http::{Request, Response};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{SendRequest, handshake};
+use smol::{LocalExecutor, Task, Timer};
+use snafu::ResultExt;
+
+use crate::client::ConnectionError;
+use crate::client::error::{ConnectSnafu, ExchangeFailedSnafu};
+use crate::socket::{SmolIo, set_tcp_options};
+
+/// A connection to a target, which carries one exchange at a time.
+///
+/// Dropping it closes the connection at once, which cancels a running request at the target.
+#[derive(Debug)]
+pub struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    _driver: Task<()>,
+}
+
+impl Connection {
+    /// Connects to a target.
+    ///
+    /// `tcp_user_timeout` is the maximum time that sent bytes may stay unacknowledged.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no connection is established within `timeout`.
+    pub async fn connect(
+        executor: &LocalExecutor<'_>,
+        address: SocketAddr,
+        timeout: Duration,
+        tcp_user_timeout: Duration,
+    ) -> Result<Self, ConnectionError> {
+        let timed_out = async {
+            Timer::after(timeout).await;
+            Err(ConnectionError::ConnectTimeout { timeout_ms: timeout.as_millis() as u64 })
+        };
+        let connect = async { Async::<TcpStream>::connect(address).await.context(ConnectSnafu) };
+        let stream = smol::future::or(connect, timed_out).await?;
+        set_tcp_options(stream.get_ref(), tcp_user_timeout).context(ConnectSnafu)?;
+        let (sender, driver) = handshake(SmolIo::new(stream)).await.context(ExchangeFailedSnafu)?;
+        // The sender reports a connection error: a running exchange fails, an idle sender closes.
+        let task = executor.spawn(async move { driver.await.unwrap_or_default() });
+        Ok(Self { sender, _driver: task })
+    }
+
+    /// Sends a request and waits for the head of its answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ConnectionError::Closed`] if nothing was sent, and
+    /// [`ConnectionError::ExchangeFailed`] if the request may have been sent.
+    pub async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, ConnectionError> {
+        self.sender.try_send_request(request).await.map_err(|mut unsent| {
+            match unsent.take_message() {
+                Some(_) => ConnectionError::Closed,
+                None => ConnectionError::ExchangeFailed { source: unsent.into_error() },
+            }
+        })
+    }
+
+    /// Whether the last exchange is complete and the connection is open.
+    ///
+    /// Unexpected bytes from the target close the connection, so that a late answer is never read
+    /// as the answer to the next request.
+    pub fn is_idle(&self) -> bool {
+        self.sender.is_ready()
+    }
+
+    /// Waits until the last exchange is complete; returns whether the connection is still open.
+    pub async fn wait_idle(&mut self) -> bool {
+        self.sender.ready().await.is_ok()
+    }
+}
