--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -39,7 +39,7 @@
 
     /// Sends the request and forwards the answer.
     pub(crate) async fn run(mut self) -> AttemptOutcome {
-        let (channel, response) = match self.send().await {
+        let (connection, response) = match self.send().await {
             Ok(sent) => sent,
             Err(outcome) => return outcome,
         };
@@ -55,24 +55,24 @@
             self.log_end("answer of another request", response.status().as_u16());
             return AttemptOutcome::Failed(Verdict::MayHaveRun);
         }
-        self.forward(channel, response, head).await
+        self.forward(connection, response, head).await
     }
 
     /// Sends on a pooled connection, and on a new one if the target had already closed the pooled
     /// one.
     async fn send(&mut self) -> Result<(Connection, Response<Incoming>), AttemptOutcome> {
-        let channels = self.exchange.dispatcher.channels.clone();
+        let connections = self.exchange.dispatcher.connections.clone();
         let address = self.destination.address;
-        let (channel, is_new) =
-            self.connect_or_fail(async { channels.take(address).await }).await?;
-        match self.send_on(channel).await {
+        let (connection, is_new) =
+            self.connect_or_fail(async { connections.take(address).await }).await?;
+        match self.send_on(connection).await {
             Err(SendError::NotSent) if !is_new => {}
             Err(SendError::NotSent) => return Err(AttemptOutcome::Failed(Verdict::NotRun)),
             Err(SendError::Ended(outcome)) => return Err(outcome),
             Ok(answered) => return Ok(answered),
         }
-        let channel = self.connect_or_fail(async { channels.connect(address).await }).await?;
-        match self.send_on(channel).await {
+        let connection = self.connect_or_fail(async { connections.connect(address).await }).await?;
+        match self.send_on(connection).await {
             Err(SendError::NotSent) => Err(AttemptOutcome::Failed(Verdict::NotRun)),
             Err(SendError::Ended(outcome)) => Err(outcome),
             Ok(answered) => Ok(answered),
@@ -81,12 +81,12 @@
 
     async fn send_on(
         &mut self,
-        mut channel: Connection,
+        mut connection: Connection,
     ) -> Result<(Connection, Response<Incoming>), SendError> {
         let request = self.build_request();
-        let answer = self.exchange.unless_interrupted(channel.send(request)).await;
+        let answer = self.exchange.unless_interrupted(connection.send(request)).await;
         match answer {
-            Ok(Ok(response)) => Ok((channel, response)),
+            Ok(Ok(response)) => Ok((connection, response)),
             Ok(Err(ConnectionError::Closed)) => Err(SendError::NotSent),
             Ok(Err(error)) => {
                 self.log_failure(&error);
--- a/crates/gateway/src/traffic/dispatcher.rs
+++ b/crates/gateway/src/traffic/dispatcher.rs
@@ -25,7 +25,7 @@
 pub(crate) struct Dispatcher<A> {
     pub(crate) adapter: A,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    pub(crate) channels: ConnectionPool,
+    pub(crate) connections: ConnectionPool,
     pub(crate) state: RefCell<DispatchState>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) log: Logger,
@@ -39,7 +39,7 @@
     pub(crate) fn new(
         adapter: A,
         executor: Rc<LocalExecutor<'static>>,
-        channels: ConnectionPool,
+        connections: ConnectionPool,
         state: DispatchState,
         metrics: GatewayMetrics,
         log: Logger,
@@ -50,7 +50,7 @@
         Rc::new(Self {
             adapter,
             executor,
-            channels,
+            connections,
             state,
             metrics,
             log,
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -27,7 +27,7 @@
     /// Forwards a target's answer to the caller.
     pub(crate) async fn forward(
         &mut self,
-        channel: Connection,
+        connection: Connection,
         response: Response<Incoming>,
         head: AnswerHead,
     ) -> AttemptOutcome {
@@ -41,7 +41,7 @@
                 false => self.forward_plain(parts, body).await,
             };
         if outcome == AttemptOutcome::Answered && !head.closes {
-            self.pool_channel(channel, &head).await;
+            self.pool_connection(connection, &head).await;
         }
         outcome
     }
@@ -181,10 +181,10 @@
     }
 
     /// Returns the connection to the pool once its exchange is complete.
-    async fn pool_channel(&self, mut channel: Connection, head: &AnswerHead) {
-        if channel.wait_idle().await {
-            let channels = &self.exchange.dispatcher.channels;
-            channels.put(self.destination.address, channel, Self::idle_timeout(head));
+    async fn pool_connection(&self, mut connection: Connection, head: &AnswerHead) {
+        if connection.wait_idle().await {
+            let connections = &self.exchange.dispatcher.connections;
+            connections.put(self.destination.address, connection, Self::idle_timeout(head));
         }
     }
 }
