--- a/crates/gateway/src/traffic/dispatch_state.rs
+++ b/crates/gateway/src/traffic/dispatch_state.rs
@@ -3,7 +3,7 @@
 
 use async_channel::Sender;
 use celeryhaven_fleet::RouteTable;
-use celeryhaven_policy::{Decision, StandstillWatch, Ticket};
+use celeryhaven_policy::{Decision, StallDetector, Ticket};
 use celeryhaven_types::{Map, ModelName, Refusal, RequestClass, ServiceName, TimeMs};
 
 use crate::traffic::pool::{Pool, RetryLimits};
@@ -48,7 +48,7 @@
     pub(crate) ready: bool,
     pub(crate) cut_off_until: Option<TimeMs>,
     pub(crate) leaving_since: Option<TimeMs>,
-    pub(crate) stall_detector: StandstillWatch<DestinationName>,
+    pub(crate) stall_detector: StallDetector<DestinationName>,
     pub(crate) active_requests: Map<Ticket, ActiveRequest>,
     pools: Map<PoolKey, Pool>,
     senders: u32,
@@ -68,7 +68,7 @@
             ready: false,
             cut_off_until: None,
             leaving_since: None,
-            stall_detector: StandstillWatch::new(),
+            stall_detector: StallDetector::new(),
             active_requests: Map::default(),
             pools: Map::default(),
             senders: 1,
@@ -126,7 +126,7 @@
         if let Some(ActiveRequest { destination: Some(name), streaming: true, .. }) =
             self.active_requests.remove(&ticket)
         {
-            self.stall_detector.ended(&name);
+            self.stall_detector.stream_finished(&name);
         }
     }
 
@@ -156,7 +156,7 @@
 
     /// Processes timers that are due; returns the destinations that have stalled.
     pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<DestinationName> {
-        let stalled = self.stall_detector.still(now);
+        let stalled = self.stall_detector.detect_stalled(now);
         for name in &stalled {
             self.cancel_repeatable(name);
         }
--- a/crates/gateway/src/traffic/dispatcher.rs
+++ b/crates/gateway/src/traffic/dispatcher.rs
@@ -128,7 +128,7 @@
             && let Some(name) = &active.destination
         {
             active.streaming = true;
-            state.stall_detector.begun(now, name);
+            state.stall_detector.stream_started(now, name);
         }
         state.notify_pool(ticket, |pool, out| pool.started(now, ticket, out));
     }
@@ -136,7 +136,7 @@
     /// Records that a stream of the destination has produced an event.
     pub(crate) fn progressed(&self, name: &DestinationName) {
         let now = self.now();
-        self.state.borrow_mut().stall_detector.event(now, name);
+        self.state.borrow_mut().stall_detector.event_received(now, name);
     }
 
     /// Records the load that a target has reported.
@@ -167,7 +167,7 @@
             if active.streaming
                 && let Some(name) = &active.destination
             {
-                state.stall_detector.ended(name);
+                state.stall_detector.stream_finished(name);
             }
             active.streaming = false;
             active.destination = None;
--- a/crates/gateway/src/traffic/pool.rs
+++ b/crates/gateway/src/traffic/pool.rs
@@ -168,9 +168,9 @@
             Sharing::Pooled => self.subset.choose(&all, |destination| destination.name.as_str()),
             _ => all.iter().collect(),
         };
-        let senders = TargetSubset::sharers(self.senders, selected.len(), all.len());
+        let senders = TargetSubset::senders_per_target(self.senders, selected.len(), all.len());
         self.policy.set_sharing(sharing);
-        self.policy.handle(now, PolicyEvent::Sharers { nodes: senders }, out);
+        self.policy.handle(now, PolicyEvent::Senders { nodes: senders }, out);
         let current: Map<&DestinationName, &Destination> =
             selected.iter().map(|destination| (&destination.name, *destination)).collect();
         // A restarted target keeps its name but may have another address.
@@ -258,11 +258,11 @@
         verdict: Verdict,
         out: &mut Vec<Decision>,
     ) {
-        self.policy.handle(now, PolicyEvent::Broken { ticket, verdict }, out);
+        self.policy.handle(now, PolicyEvent::AttemptFailed { ticket, verdict }, out);
     }
 
     pub(crate) fn abandoned(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<Decision>) {
-        self.policy.handle(now, PolicyEvent::CallerGone { ticket }, out);
+        self.policy.handle(now, PolicyEvent::CallerDisconnected { ticket }, out);
     }
 
     pub(crate) fn load_reported(
