--- a/crates/forming/src/domain/probing.rs
+++ b/crates/forming/src/domain/probing.rs
@@ -58,7 +58,7 @@
         // A listed member has restarted or joined another replica. One without an address cannot be
         // probed.
         let is_listed = view.fleet.target(name).is_some();
-        let is_known = view.fleet.known(name).is_some();
+        let is_known = view.fleet.target_or_removed(name).is_some();
         if is_listed || !is_known || self.unreachable.contains_key(name) {
             return Some(false);
         }
--- /dev/null
+++ b/crates/gateway/src/traffic/dispatch_state.rs
@@ -0,0 +1,294 @@
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use async_channel::Sender;
+use celeryhaven_fleet::RouteTable;
+use celeryhaven_policy::{Decision, StallDetector, Ticket};
+use celeryhaven_types::{Map, ModelName, Refusal, RequestClass, ServiceName, TimeMs};
+
+use crate::traffic::pool::{Pool, RetryLimits};
+use crate::traffic::{CallerRequest, Destination, DestinationName, OfferedLoad};
+
+/// Identifies a pool: the service, and the model if the service has engines.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(crate) struct PoolKey {
+    pub(crate) service: ServiceName,
+    pub(crate) model: Option<ModelName>,
+}
+
+/// An instruction from the dispatcher to an exchange.
+#[derive(Clone, Debug)]
+pub(crate) enum Instruction {
+    /// Send the request to this destination.
+    Send(Destination),
+    /// Answer the caller with this refusal.
+    Refuse(Refusal),
+    /// Cancel the attempt.
+    Cancel,
+}
+
+/// A request without a final answer.
+#[derive(Debug)]
+pub(crate) struct ActiveRequest {
+    pub(crate) pool: PoolKey,
+    pub(crate) instructions: Sender<Instruction>,
+    pub(crate) destination: Option<DestinationName>,
+    /// Whether its stream has produced an event.
+    pub(crate) streaming: bool,
+    /// Whether the request may be sent again after it may have run.
+    pub(crate) may_repeat: bool,
+}
+
+/// The state on which dispatch decisions are based.
+#[derive(Debug)]
+pub(crate) struct DispatchState {
+    pub(crate) routes: Option<Arc<RouteTable>>,
+    pub(crate) destinations: Arc<[Destination]>,
+    pub(crate) addresses: Vec<SocketAddr>,
+    pub(crate) ready: bool,
+    pub(crate) cut_off_until: Option<TimeMs>,
+    pub(crate) leaving_since: Option<TimeMs>,
+    pub(crate) stall_detector: StallDetector<DestinationName>,
+    pub(crate) active_requests: Map<Ticket, ActiveRequest>,
+    pools: Map<PoolKey, Pool>,
+    senders: u32,
+    next_ticket: Ticket,
+    seed: u64,
+    retry_earned_per_arrival: f64,
+    retry_saved_max: f64,
+}
+
+impl DispatchState {
+    /// Creates an empty state; the retry limits apply to all nodes together.
+    pub(crate) fn new(seed: u64, retry_earned_per_arrival: f64, retry_saved_max: f64) -> Self {
+        Self {
+            routes: None,
+            destinations: Arc::default(),
+            addresses: Vec::new(),
+            ready: false,
+            cut_off_until: None,
+            leaving_since: None,
+            stall_detector: StallDetector::new(),
+            active_requests: Map::default(),
+            pools: Map::default(),
+            senders: 1,
+            next_ticket: Ticket::default(),
+            seed,
+            retry_earned_per_arrival,
+            retry_saved_max,
+        }
+    }
+
+    /// Registers a request and lets the policy dispatch or queue it.
+    pub(crate) fn register(
+        &mut self,
+        now: TimeMs,
+        request: &CallerRequest,
+        instructions: Sender<Instruction>,
+    ) -> Ticket {
+        let ticket = self.next_ticket;
+        self.next_ticket = ticket.next();
+        let key = PoolKey { service: request.service.clone(), model: request.model.clone() };
+        let active = ActiveRequest {
+            pool: key.clone(),
+            instructions,
+            destination: None,
+            streaming: false,
+            may_repeat: request.may_repeat(),
+        };
+        self.active_requests.insert(ticket, active);
+        let mut out = Vec::new();
+        if let Some(pool) = self.pool_or_insert(now, &key) {
+            let head = request.head(now, pool.tokens_per_event);
+            pool.arrived(now, ticket, &head, &mut out);
+        }
+        self.execute(&key, out);
+        ticket
+    }
+
+    /// Sends an event about an active request to its pool, and executes the resulting decisions.
+    pub(crate) fn notify_pool(
+        &mut self,
+        ticket: Ticket,
+        event: impl FnOnce(&mut Pool, &mut Vec<Decision>),
+    ) {
+        let Some(active) = self.active_requests.get(&ticket) else { return };
+        let key = active.pool.clone();
+        let mut out = Vec::new();
+        if let Some(pool) = self.pools.get_mut(&key) {
+            event(pool, &mut out);
+        }
+        self.execute(&key, out);
+    }
+
+    /// Removes a completed request that the policy no longer tracks.
+    pub(crate) fn remove(&mut self, ticket: Ticket) {
+        if let Some(ActiveRequest { destination: Some(name), streaming: true, .. }) =
+            self.active_requests.remove(&ticket)
+        {
+            self.stall_detector.stream_finished(&name);
+        }
+    }
+
+    /// Sets the destinations for requests.
+    pub(crate) fn set_destinations(&mut self, now: TimeMs, destinations: Arc<[Destination]>) {
+        if !Arc::ptr_eq(&self.destinations, &destinations) {
+            self.destinations = destinations;
+            self.refresh_targets(now);
+        }
+    }
+
+    /// Sets the number of nodes that send to the same targets.
+    pub(crate) fn set_senders(&mut self, now: TimeMs, senders: u32) {
+        if senders == self.senders {
+            return;
+        }
+        self.senders = senders;
+        let retries = self.retry_limits();
+        for key in self.pools.keys().cloned().collect::<Vec<_>>() {
+            let mut out = Vec::new();
+            if let Some(pool) = self.pools.get_mut(&key) {
+                pool.set_senders(now, senders, retries, &mut out);
+            }
+            self.execute(&key, out);
+        }
+    }
+
+    /// Processes timers that are due; returns the destinations that have stalled.
+    pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<DestinationName> {
+        let stalled = self.stall_detector.detect_stalled(now);
+        for name in &stalled {
+            self.cancel_repeatable(name);
+        }
+        if self.stall_detector.take_changed() {
+            self.refresh_targets(now);
+        }
+        let due = self.pools.iter().filter(|(_, pool)| pool.is_due(now));
+        for key in due.map(|(key, _)| key.clone()).collect::<Vec<_>>() {
+            let mut out = Vec::new();
+            if let Some(pool) = self.pools.get_mut(&key) {
+                pool.tick(now, &mut out);
+            }
+            self.execute(&key, out);
+        }
+        stalled
+    }
+
+    /// Suspects a destination temporarily and cancels the repeatable requests there.
+    pub(crate) fn suspect(&mut self, now: TimeMs, name: &DestinationName) {
+        if !self.stall_detector.is_suspected(now, name) {
+            self.stall_detector.suspect(now, name);
+            self.cancel_repeatable(name);
+            self.refresh_targets(now);
+        }
+    }
+
+    /// Suspects a destination temporarily without cancelling the requests there.
+    pub(crate) fn exclude(&mut self, now: TimeMs, name: &DestinationName) {
+        self.stall_detector.suspect(now, name);
+        self.refresh_targets(now);
+    }
+
+    /// Returns the load that callers have offered for each model since the last call.
+    pub(crate) fn take_offered_load(&mut self) -> Vec<OfferedLoad> {
+        let pools = self.pools.iter_mut();
+        let offered = pools.filter_map(|(key, pool)| {
+            let model = key.model.clone()?;
+            Some(OfferedLoad { model, slot_ms: pool.take_offered_slot_ms() })
+        });
+        offered.filter(|offered| offered.slot_ms > 0.0).collect()
+    }
+
+    /// Returns the number of requests that wait for a target.
+    pub(crate) fn queued(&self) -> usize {
+        self.pools.values().map(Pool::queued).sum()
+    }
+
+    /// Cancels repeatable requests at a replica.
+    ///
+    /// The head of a replica that lost a member may accept requests for seconds before it notices.
+    fn cancel_repeatable(&self, name: &DestinationName) {
+        let at_replica = self
+            .active_requests
+            .values()
+            .filter(|active| active.destination.as_ref() == Some(name));
+        for active in at_replica.filter(|active| active.may_repeat) {
+            // If the channel is full, an instruction is already pending.
+            active.instructions.try_send(Instruction::Cancel).unwrap_or_default();
+        }
+    }
+
+    /// Gives each pool the destinations that are not suspected.
+    fn refresh_targets(&mut self, now: TimeMs) {
+        for key in self.pools.keys().cloned().collect::<Vec<_>>() {
+            let eligible = self.eligible_destinations(now, &key);
+            let mut out = Vec::new();
+            if let Some(pool) = self.pools.get_mut(&key) {
+                pool.set_targets(now, &eligible, &mut out);
+            }
+            self.execute(&key, out);
+        }
+    }
+
+    fn eligible_destinations(&self, now: TimeMs, key: &PoolKey) -> Vec<Destination> {
+        let of_pool = self.destinations.iter().filter(|destination| {
+            destination.service == key.service && destination.model == key.model
+        });
+        of_pool
+            .filter(|destination| !self.stall_detector.is_suspected(now, &destination.name))
+            .cloned()
+            .collect()
+    }
+
+    fn pool_or_insert(&mut self, now: TimeMs, key: &PoolKey) -> Option<&mut Pool> {
+        if !self.pools.contains_key(key) {
+            let pool = self.new_pool(now, key);
+            self.pools.insert(key.clone(), pool);
+        }
+        self.pools.get_mut(key)
+    }
+
+    fn new_pool(&mut self, now: TimeMs, key: &PoolKey) -> Pool {
+        let config = self.routes.as_ref().map(|routes| routes.config());
+        let engine = config.and_then(|config| {
+            let engine = config.service(&key.service)?.engine.as_ref()?;
+            Some((engine, engine.model(key.model.as_ref()?)?))
+        });
+        let serves = match &key.model {
+            Some(model) => RequestClass::Completion { model: model.clone(), adapter: None },
+            None => RequestClass::Plain { service: key.service.clone() },
+        };
+        self.seed = self.seed.wrapping_add(1);
+        let mut pool = Pool::new(serves, self.seed, engine, self.retry_limits());
+        let mut out = Vec::new();
+        pool.set_senders(now, self.senders, self.retry_limits(), &mut out);
+        pool.set_targets(now, &self.eligible_destinations(now, key), &mut out);
+        pool
+    }
+
+    /// Returns this node's share of the retries allowed to all nodes.
+    fn retry_limits(&self) -> RetryLimits {
+        let saved_max = self.retry_saved_max / f64::from(self.senders.max(1));
+        RetryLimits { earned_per_arrival: self.retry_earned_per_arrival, saved_max }
+    }
+
+    fn execute(&mut self, key: &PoolKey, decisions: Vec<Decision>) {
+        for decision in decisions {
+            let (ticket, instruction) = match decision {
+                Decision::Dispatch { ticket, target } => {
+                    let destination = self.pools.get(key).and_then(|pool| pool.destination(target));
+                    let Some(destination) = destination.cloned() else { continue };
+                    if let Some(active) = self.active_requests.get_mut(&ticket) {
+                        active.destination = Some(destination.name.clone());
+                    }
+                    (ticket, Instruction::Send(destination))
+                }
+                Decision::Refuse { ticket, refusal } => (ticket, Instruction::Refuse(refusal)),
+                Decision::Cancel { ticket } => (ticket, Instruction::Cancel),
+            };
+            if let Some(active) = self.active_requests.get(&ticket) {
+                active.instructions.try_send(instruction).unwrap_or_default();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/traffic/forward.rs
@@ -0,0 +1,190 @@
+use bytes::{Bytes, BytesMut};
+use celeryhaven_http::Connection;
+use celeryhaven_types::Verdict;
+use http::{Response, StatusCode};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+
+use crate::adapter::{Adapter, AnswerHead};
+use crate::http::strip_hop_by_hop;
+use crate::traffic::AnswerParts;
+use crate::traffic::attempt::{Attempt, AttemptOutcome};
+
+/// Longest plain answer that is buffered until it is complete, in bytes.
+///
+/// A buffered answer that fails can be retried at another target; a longer one is forwarded as it
+/// arrives.
+const BUFFERED_BYTES_MAX: usize = 64 * 1024;
+
+/// The result of reading from an answer body.
+enum ReadResult {
+    Data(Bytes),
+    Complete,
+    Ended(AttemptOutcome),
+}
+
+impl<A: Adapter> Attempt<'_, A> {
+    /// Forwards a target's answer to the caller.
+    pub(crate) async fn forward(
+        &mut self,
+        connection: Connection,
+        response: Response<Incoming>,
+        head: AnswerHead,
+    ) -> AttemptOutcome {
+        let (parts, body) = response.into_parts();
+        let mut headers = parts.headers;
+        strip_hop_by_hop(&mut headers);
+        let parts = AnswerParts { status: parts.status, headers, body: None };
+        let outcome =
+            match parts.status.is_success() && self.exchange.request.route.kind.is_stream() {
+                true => self.forward_events(parts, body).await,
+                false => self.forward_plain(parts, body).await,
+            };
+        if outcome == AttemptOutcome::Answered && !head.closes {
+            self.pool_connection(connection, &head).await;
+        }
+        outcome
+    }
+
+    /// Forwards complete events as they arrive.
+    async fn forward_events(&mut self, parts: AnswerParts, mut body: Incoming) -> AttemptOutcome {
+        let may_resume = self.exchange.request.may_repeat();
+        let mut parts = Some(parts);
+        let mut has_started = false;
+        loop {
+            let bytes = match self.read(&mut body).await {
+                ReadResult::Data(bytes) => bytes,
+                ReadResult::Complete => return self.finish_events(parts, may_resume).await,
+                ReadResult::Ended(outcome) => {
+                    self.exchange.splitter.drop_pending();
+                    return outcome;
+                }
+            };
+            if !has_started {
+                has_started = true;
+                self.exchange.dispatcher.started(self.exchange.ticket, true);
+            }
+            self.exchange.dispatcher.progressed(&self.destination.name);
+            let Some(events) = self.exchange.splitter.push(&bytes) else {
+                if self.exchange.splitter.is_too_long() {
+                    return AttemptOutcome::Failed(Verdict::MayHaveRun);
+                }
+                continue;
+            };
+            self.send_head(&mut parts).await;
+            self.exchange.delivery.record_chunk(self.exchange.dispatcher.now());
+            self.exchange.sink.send_chunk(events).await;
+        }
+    }
+
+    /// Completes the answer after the target has ended its stream.
+    async fn finish_events(
+        &mut self,
+        mut parts: Option<AnswerParts>,
+        may_resume: bool,
+    ) -> AttemptOutcome {
+        if self.exchange.splitter.is_inside_event() && may_resume {
+            self.exchange.splitter.drop_pending();
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
+        }
+        self.send_head(&mut parts).await;
+        let rest = self.exchange.splitter.take_pending();
+        if !rest.is_empty() {
+            self.exchange.sink.send_chunk(rest).await;
+        }
+        self.exchange.sink.finish().await;
+        AttemptOutcome::Answered
+    }
+
+    /// Sends the head to the caller, unless an earlier attempt has.
+    async fn send_head(&mut self, parts: &mut Option<AnswerParts>) {
+        if let Some(parts) = parts.take()
+            && !self.exchange.sink.head_sent()
+        {
+            self.exchange.sink.send_head(parts).await;
+        }
+    }
+
+    /// Buffers a plain answer until it is complete or exceeds the limit.
+    async fn forward_plain(&mut self, parts: AnswerParts, mut body: Incoming) -> AttemptOutcome {
+        let mut buffered = BytesMut::new();
+        loop {
+            match self.read(&mut body).await {
+                ReadResult::Ended(outcome) => return outcome,
+                ReadResult::Complete => break,
+                ReadResult::Data(bytes) => buffered.extend_from_slice(&bytes),
+            }
+            if buffered.len() > BUFFERED_BYTES_MAX {
+                return self.forward_unbuffered(parts, buffered.freeze(), body).await;
+            }
+        }
+        self.exchange.dispatcher.started(self.exchange.ticket, false);
+        let body = buffered.freeze();
+        if self.exchange.sink.head_sent() {
+            // A resumed stream got an error answer, which does not belong in the caller's stream.
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
+        }
+        if parts.status.is_server_error() && self.exchange.request.may_repeat() {
+            self.log_end("failed by target", parts.status.as_u16());
+            self.exchange.failed_answer = Some((parts, body));
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
+        }
+        self.exchange.delivery.record_chunk(self.exchange.dispatcher.now());
+        self.exchange.sink.send_head(AnswerParts { body: Some(body), ..parts }).await;
+        AttemptOutcome::Answered
+    }
+
+    async fn forward_unbuffered(
+        &mut self,
+        parts: AnswerParts,
+        buffered: Bytes,
+        mut body: Incoming,
+    ) -> AttemptOutcome {
+        if self.exchange.sink.head_sent() {
+            return AttemptOutcome::Failed(Verdict::MayHaveRun);
+        }
+        self.exchange.dispatcher.started(self.exchange.ticket, false);
+        self.exchange.sink.send_head(parts).await;
+        self.exchange.sink.send_chunk(buffered).await;
+        loop {
+            match self.read(&mut body).await {
+                ReadResult::Data(bytes) => self.exchange.sink.send_chunk(bytes).await,
+                ReadResult::Complete => {
+                    self.exchange.sink.finish().await;
+                    return AttemptOutcome::Answered;
+                }
+                // The caller has part of the answer, so another attempt cannot replace it.
+                ReadResult::Ended(_) => {
+                    self.exchange.attempts = self.exchange.request.route.attempts_max;
+                    return AttemptOutcome::Failed(Verdict::MayHaveRun);
+                }
+            }
+        }
+    }
+
+    async fn read(&self, body: &mut Incoming) -> ReadResult {
+        loop {
+            match self.exchange.unless_interrupted(body.frame()).await {
+                Err(interrupt) => return ReadResult::Ended(AttemptOutcome::Interrupted(interrupt)),
+                Ok(None) => return ReadResult::Complete,
+                Ok(Some(Err(_))) => {
+                    self.log_end("answer broke off", StatusCode::OK.as_u16());
+                    return ReadResult::Ended(AttemptOutcome::Failed(Verdict::MayHaveRun));
+                }
+                Ok(Some(Ok(frame))) => {
+                    if let Ok(bytes) = frame.into_data() {
+                        return ReadResult::Data(bytes);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Returns the connection to the pool once its exchange is complete.
+    async fn pool_connection(&self, mut connection: Connection, head: &AnswerHead) {
+        if connection.wait_idle().await {
+            let connections = &self.exchange.dispatcher.connections;
+            connections.put(self.destination.address, connection, Self::idle_timeout(head));
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/stall/stall_detector.rs
@@ -0,0 +1,109 @@
+use std::hash::Hash;
+
+use celeryhaven_types::{Map, TimeMs};
+
+/// Time without an event from any stream of a replica after which it is suspected.
+///
+/// A full batch with long prompts may pause for up to 200 ms between events.
+const STALL_TIMEOUT_MS: u64 = 600;
+
+/// Time for which a suspected replica receives no requests.
+const SUSPICION_MS: u64 = 2_500;
+
+/// Detects replicas whose streams have all stopped producing events.
+///
+/// A replica that has lost a member may stalled accept requests that it can't answer. Its open
+/// streams stop together, which shows the failure before the coordinator reports it.
+///
+/// ```
+/// use celeryhaven_policy::StallDetector;
+/// use celeryhaven_types::TimeMs;
+/// let mut detector = StallDetector::new();
+/// detector.stream_started(TimeMs::new(0), &"replica");
+/// detector.event_received(TimeMs::new(100), &"replica");
+/// assert!(detector.detect_stalled(TimeMs::new(500)).is_empty());
+/// assert_eq!(detector.detect_stalled(TimeMs::new(900)), ["replica"]);
+/// assert!(detector.is_suspected(TimeMs::new(900), &"replica"));
+/// ```
+#[derive(Clone, Debug)]
+pub struct StallDetector<K> {
+    replicas: Map<K, Streams>,
+    suspected: Map<K, TimeMs>,
+    /// Whether the set of suspected replicas changed since the last `take_changed`.
+    changed: bool,
+}
+
+impl<K> Default for StallDetector<K> {
+    fn default() -> Self {
+        Self { replicas: Map::default(), suspected: Map::default(), changed: false }
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Streams {
+    open: u32,
+    last_event_at: TimeMs,
+}
+
+impl<K: Clone + Eq + Hash + Ord> StallDetector<K> {
+    /// Creates a detector without streams.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Records that a stream of a replica has produced its first event.
+    pub fn stream_started(&mut self, now: TimeMs, name: &K) {
+        let initial = Streams { open: 0, last_event_at: now };
+        let streams = self.replicas.entry(name.clone()).or_insert(initial);
+        streams.open += 1;
+        streams.last_event_at = now;
+    }
+
+    /// Records a further event of a stream, which clears a suspicion of its replica.
+    pub fn event_received(&mut self, now: TimeMs, name: &K) {
+        if let Some(streams) = self.replicas.get_mut(name) {
+            streams.last_event_at = now;
+        }
+        self.changed |= self.suspected.remove(name).is_some();
+    }
+
+    /// Records that a stream has finished.
+    pub fn stream_finished(&mut self, name: &K) {
+        if let Some(streams) = self.replicas.get_mut(name) {
+            streams.open = streams.open.saturating_sub(1);
+            if streams.open == 0 {
+                self.replicas.remove(name);
+            }
+        }
+    }
+
+    /// Returns the stalled replicas that are not suspected yet, in order, and suspects them.
+    pub fn detect_stalled(&mut self, now: TimeMs) -> Vec<K> {
+        let before = self.suspected.len();
+        self.suspected.retain(|_, expires_at| *expires_at > now);
+        self.changed |= self.suspected.len() != before;
+        let stalled = self.replicas.iter().filter(|(name, streams)| {
+            now.since(streams.last_event_at) >= STALL_TIMEOUT_MS
+                && !self.suspected.contains_key(*name)
+        });
+        let mut stalled: Vec<_> = stalled.map(|(name, _)| name.clone()).collect();
+        stalled.sort();
+        stalled.iter().for_each(|name| self.suspect(now, name));
+        stalled
+    }
+
+    /// Suspects a replica, so that it receives no requests for a while.
+    pub fn suspect(&mut self, now: TimeMs, name: &K) {
+        self.changed |= self.suspected.insert(name.clone(), now.after(SUSPICION_MS)).is_none();
+    }
+
+    /// Returns whether the set of suspected replicas changed since the last call.
+    pub fn take_changed(&mut self) -> bool {
+        std::mem::take(&mut self.changed)
+    }
+
+    /// Whether a replica is suspected and receives no requests.
+    pub fn is_suspected(&self, now: TimeMs, name: &K) -> bool {
+        self.suspected.get(name).is_some_and(|&expires_at| expires_at > now)
+    }
+}
