--- a/crates/settings/src/process/controller.rs
+++ b/crates/settings/src/process/controller.rs
@@ -16,39 +16,39 @@
         node: NodeName = Kind::Name;
         /// Data centre of this entry VM.
         data_centre: DataCentreName = Kind::Name;
-        /// Where operators' requests are taken (UDP).
+        /// Address on which operator requests are accepted (UDP).
         operator_listen: SocketAddr = Kind::Address;
-        /// Where health, readiness and metrics are answered.
+        /// Address on which health, readiness and metrics are served.
         http_listen: SocketAddr = Kind::Address;
-        /// Where the platform's Object API answers.
+        /// Address of the platform's Object API.
         object_api: SocketAddr = Kind::Address;
-        /// Where the platform's VM list answers.
+        /// Address of the platform's VM list.
         vm_list: SocketAddr = Kind::Address;
         /// This node's certificate, in PEM.
         certificate_file: PathBuf = Kind::File;
         /// The certificate's private key, in PEM.
         key_file: PathBuf = Kind::File;
-        /// The certificate of the fleet's authority, in PEM.
+        /// The certificate of the fleet's certificate authority, in PEM.
         authority_file: PathBuf = Kind::File;
-        /// How long a lease holds after others last saw it change.
+        /// How long a lease is valid after others last observed a change of it.
         lease_ttl_ms: u64 = Kind::number(500, 600_000, 9_000);
-        /// How often a held lease is renewed.
+        /// Interval at which a held lease is renewed.
         lease_renew_ms: u64 = Kind::number(100, 300_000, 3_000);
-        /// How long after its decision an order may still be on its way.
+        /// How long after its decision an order may still be in transit.
         order_life_ms: u64 = Kind::number(100, 60_000, 3_000);
-        /// How old a member's report may be before the member counts as silent.
+        /// Maximum age of a member's report before the member counts as silent.
         report_life_ms: u64 = Kind::number(100, 60_000, 2_000);
-        /// How often each member is polled.
+        /// Interval at which each member is polled.
         poll_interval_ms: u64 = Kind::number(20, 30_000, 500);
-        /// How long a poll of a member may take.
+        /// Timeout of a poll of a member.
         poll_timeout_ms: u64 = Kind::number(10, 30_000, 400);
-        /// How often the VM list is read.
+        /// Interval at which the VM list is read.
         vm_list_interval_ms: u64 = Kind::number(100, 600_000, 2_000);
-        /// How long a call to the Object API may take, besides a watch's wait.
+        /// Timeout of a call to the Object API, excluding the wait of a watch.
         store_timeout_ms: u64 = Kind::number(50, 60_000, 2_000);
-        /// Rate of the weights store, shared by all loads.
+        /// Throughput of the weights store, shared by all loads.
         weights_rate_bytes_per_s: u64 = Kind::number(1_000, 1_000_000_000_000_000, 4_000_000_000);
-        /// How much is logged.
+        /// Minimum severity that is logged.
         log_level: LogLevel = LogLevel::KIND;
     }
 }
--- a/crates/settings/src/process/entry.rs
+++ b/crates/settings/src/process/entry.rs
@@ -16,61 +16,61 @@
         node: NodeName = Kind::Name;
         /// Data centre of this entry VM.
         data_centre: DataCentreName = Kind::Name;
-        /// Where callers' HTTP requests are taken.
+        /// Address on which callers' HTTP requests are accepted.
         http_listen: SocketAddr = Kind::Address;
-        /// Where callers reach this node, for address answers; port 0 stands for the port listened on.
+        /// Address for callers, sent in address answers; port 0 stands for the listening port.
         http_advertised: SocketAddr = Kind::Address;
-        /// Where other entries' links are taken (UDP).
+        /// Address on which links from other entries are accepted (UDP).
         peer_listen: SocketAddr = Kind::Address;
-        /// Where other entries reach this node; port 0 stands for the port listened on.
+        /// Address for other entries; port 0 stands for the listening port.
         peer_advertised: SocketAddr = Kind::Address;
-        /// Peer addresses of some entries, to find the others at start.
+        /// Peer addresses of some entries, used to discover the others at start.
         seeds: Vec<SocketAddr> = Kind::Addresses;
-        /// Where the platform's Object API answers.
+        /// Address of the platform's Object API.
         object_api: SocketAddr = Kind::Address;
-        /// Where the platform's VM list answers.
+        /// Address of the platform's VM list.
         vm_list: SocketAddr = Kind::Address;
         /// This node's certificate, in PEM.
         certificate_file: PathBuf = Kind::File;
         /// The certificate's private key, in PEM.
         key_file: PathBuf = Kind::File;
-        /// The certificate of the fleet's authority, in PEM.
+        /// The certificate of the fleet's certificate authority, in PEM.
         authority_file: PathBuf = Kind::File;
-        /// Deadline of a request whose caller names none.
+        /// Deadline of a request whose caller sets none.
         default_deadline_ms: u64 = Kind::number(100, 3_600_000, 60_000);
-        /// How long callers may keep an address answer; a leaving node serves on for that long.
+        /// How long callers may cache an address answer; a leaving node keeps serving that long.
         address_ttl_ms: u64 = Kind::number(100, 600_000, 15_000);
-        /// How long a request key from this node is accepted.
+        /// How long a request key issued by this node is accepted.
         key_ttl_ms: u64 = Kind::number(1_000, 86_400_000, 600_000);
-        /// Largest request body that is read.
+        /// Maximum size of a request body.
         body_limit_bytes: u64 = Kind::number(1_024, 67_108_864, 4_194_304);
-        /// Largest request head that is read.
+        /// Maximum size of a request head.
         head_limit_bytes: u64 = Kind::number(1_024, 262_144, 16_384);
-        /// How long a caller may take to send a body; twice that for all, or to take any of the answer.
+        /// Timeout of a request body; twice that for head and body, or for an answer not read.
         read_timeout_ms: u64 = Kind::number(50, 600_000, 10_000);
-        /// How long a connection to a target may take to open.
+        /// Timeout of opening a connection to a target.
         connect_timeout_ms: u64 = Kind::number(10, 60_000, 1_000);
-        /// How long a target may stay silent within an answer before it counts as broken.
+        /// How long a target may send nothing within an answer before the attempt fails.
         silence_timeout_ms: u64 = Kind::number(100, 3_600_000, 30_000);
-        /// Answers of keyed requests that are kept in memory for a repeated key.
+        /// Memory for cached answers, which are returned when a request key is repeated.
         kept_answers_bytes: u64 = Kind::number(0, 1_073_741_824, 33_554_432);
-        /// Threads for callers and targets; the control thread is not among them.
+        /// Number of threads for callers and targets, besides the control thread.
         traffic_threads: usize = Kind::number(1, 64, 2);
-        /// How old a member's report may be before its replica takes no requests.
+        /// Maximum age of a member's report before its replica receives no requests.
         report_life_ms: u64 = Kind::number(100, 60_000, 2_000);
-        /// How often an observer polls each member.
+        /// Interval at which an observer polls each member.
         poll_interval_ms: u64 = Kind::number(20, 30_000, 500);
-        /// How long a poll of a member may take.
+        /// Timeout of a poll of a member.
         poll_timeout_ms: u64 = Kind::number(10, 30_000, 400);
-        /// How often the VM list is read.
+        /// Interval at which the VM list is read.
         vm_list_interval_ms: u64 = Kind::number(100, 600_000, 5_000);
-        /// How long a configuration stays in force without evidence that it is the newest.
+        /// How long a configuration stays in force without confirmation that it is current.
         vouch_ms: u64 = Kind::number(500, 3_600_000, 6_000);
-        /// How long a call to the Object API may take, besides a watch's wait.
+        /// Timeout of a call to the Object API, excluding the wait of a watch.
         store_timeout_ms: u64 = Kind::number(50, 60_000, 2_000);
-        /// How often another entry is probed.
+        /// Interval at which another entry is probed.
         probe_interval_ms: u64 = Kind::number(20, 60_000, 500);
-        /// How much is logged.
+        /// Minimum severity that is logged.
         log_level: LogLevel = LogLevel::KIND;
     }
 }
--- a/crates/settings/src/process/gateway.rs
+++ b/crates/settings/src/process/gateway.rs
@@ -16,33 +16,33 @@
         node: NodeName = Kind::Name;
         /// Data centre of this entry VM.
         data_centre: DataCentreName = Kind::Name;
-        /// Where callers' requests are taken; address answers name it.
+        /// Address on which caller requests are accepted, also sent in address answers.
         caller_listen: SocketAddr = Kind::Address;
-        /// Where the platform and other nodes ask whether this node takes requests.
+        /// Address on which the platform and other nodes query this node's readiness.
         ready_listen: SocketAddr = Kind::Address;
-        /// Where callers ask which address to use.
+        /// Address on which callers look up the address to use.
         lookup_listen: SocketAddr = Kind::Address;
-        /// Where other nodes follow this one.
+        /// Address on which other nodes follow this node.
         peer_listen: SocketAddr = Kind::Address;
-        /// Where metrics are served.
+        /// Address on which metrics are served.
         metrics_listen: SocketAddr = Kind::Address;
-        /// Where the platform's store answers.
+        /// Address of the platform's store.
         store: SocketAddr = Kind::Address;
-        /// How long callers may keep an address answer.
+        /// How long callers may cache an address answer.
         address_ttl_ms: u64 = Kind::number(100, 600_000, 2_000);
-        /// Time from the signal to stop until the process is ended by force.
+        /// Time from the stop signal until the process is killed.
         stop_s: f64 = Kind::decimal(1.0, 600.0, 8.0);
-        /// Repeated sends that all nodes together may make, as a share of the requests.
+        /// Retry budget of all nodes together, as a share of the requests.
         retry_ratio: f64 = Kind::decimal(0.0, 1.0, 0.2);
-        /// Repeated sends beyond that which may be saved up, all nodes together.
+        /// Retries beyond that share that all nodes together may accumulate.
         retry_extra: f64 = Kind::decimal(0.0, 1e6, 100.0);
-        /// How long a call to the store may take.
+        /// Timeout of a call to the store.
         store_timeout_ms: u64 = Kind::number(50, 60_000, 700);
         /// How long a watch of the store waits for a change.
         watch_wait_ms: u64 = Kind::number(100, 30_000, 2_500);
-        /// Cores that this process may use, as a part of one where it is less.
+        /// Number of cores that this process may use; may be a fraction.
         cores: f64 = Kind::decimal(0.01, 1_024.0, 1.0);
-        /// How much is logged.
+        /// Minimum severity that is logged.
         log_level: LogLevel = LogLevel::KIND;
     }
 }
--- a/crates/settings/src/process/operator.rs
+++ b/crates/settings/src/process/operator.rs
@@ -15,9 +15,9 @@
         certificate_file: PathBuf = Kind::File;
         /// The certificate's private key, in PEM.
         key_file: PathBuf = Kind::File;
-        /// The certificate of the fleet's authority, in PEM.
+        /// The certificate of the fleet's certificate authority, in PEM.
         authority_file: PathBuf = Kind::File;
-        /// How long one request to a controller may take.
+        /// Timeout of a request to a controller.
         timeout_ms: u64 = Kind::number(100, 600_000, 10_000);
     }
 }
--- a/crates/settings/src/yaml/document.rs
+++ b/crates/settings/src/yaml/document.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the node at a path such as `organisations[2].worth`, or its nearest existing ancestor.
+    /// Returns the node at a path such as `organisations[2].worth`, or its nearest ancestor.
     pub(crate) fn nearest_node(&self, path: &str) -> &Located {
         path.split(['.', '[']).fold(&self.root, |current, step| {
             let step = step.trim_end_matches(']');
