--- a/crates/gateway/src/control/control_loop.rs
+++ b/crates/gateway/src/control/control_loop.rs
@@ -94,7 +94,7 @@
     pub(crate) fn new(parts: ControlParts<A>, executor: Rc<LocalExecutor<'static>>) -> Self {
         let relay = Relay::new(&parts.token);
         let deciders = Deciders::new(parts.boot);
-        let peers = Peers::new(parts.settings.node.clone()).with_own(&own_record(&parts));
+        let peers = Peers::new(parts.settings.node.clone()).with_own_record(&own_record(&parts));
         let store = CountedStore::new(parts.client.clone(), parts.metrics.clone());
         Self {
             parts,
@@ -193,7 +193,7 @@
         match event {
             ControlEvent::Feed(kind, news) => self.apply_feed(now, kind, news),
             ControlEvent::Nodes(records) => {
-                let changed = self.peers.update(now, records);
+                let changed = self.peers.apply_records(now, records);
                 let first = !std::mem::replace(&mut self.nodes_listed, true);
                 if self.peers.has_unprobed() {
                     self.nodes_probed_at = TimeMs::new(0);
@@ -202,7 +202,7 @@
                 Changes::nodes(changed | first)
             }
             ControlEvent::Probed { node, probe } => {
-                Changes::nodes(self.peers.probed(now, &node, probe))
+                Changes::nodes(self.peers.record_probe(now, &node, probe))
             }
             ControlEvent::Suspicion(suspicion) => {
                 self.look_into(now, suspicion);
--- a/crates/gateway/src/control/deciding.rs
+++ b/crates/gateway/src/control/deciding.rs
@@ -47,7 +47,7 @@
         // A node that has not read the others' records would take every domain for its own.
         let decides = !self.leaving && self.nodes_listed;
         let mine = all.iter().filter(|_| decides);
-        let mine = mine.filter(|domain| self.peers.is_decider(domain, is_cut_off));
+        let mine = mine.filter(|domain| self.peers.is_coordinator(domain, is_cut_off));
         let mine: BTreeSet<DomainName> = mine.map(|&domain| domain.clone()).collect();
         let settings = FormingSettings::default().with_loads(
             profile.loads_per_s,
@@ -95,7 +95,7 @@
         let Some((service, profile)) = engine(&routes) else { return };
         let targets = self.fleet.domains(service).map(|(_, targets)| targets.ready()).sum();
         let fleet = tree.fleet(now);
-        let size = FleetSize { nodes: self.peers.live() as u32 + 1, targets };
+        let size = FleetSize { nodes: self.peers.live_count() as u32 + 1, targets };
         if self.shares.update(&profile.models, profile.slots, size, &fleet) {
             for (model, share) in profile.models.iter().zip(self.shares.as_slice()) {
                 info!(self.parts.log, "share of targets"; "model" => model.name.as_str(),
@@ -108,7 +108,7 @@
     /// Chooses whom the feeds ask.
     pub(super) fn choose_relay(&self) {
         self.pace.nodes_known.set(self.nodes_listed);
-        self.pace.nodes.set(self.peers.live() as u64 + 1);
+        self.pace.nodes.set(self.peers.live_count() as u64 + 1);
         let upstream = self.peers.upstream();
         let relay = upstream
             .relay
@@ -136,10 +136,10 @@
             return;
         }
         self.nodes_probed_at = now;
-        let mut probed: BTreeSet<NodeName> = self.peers.to_probe().cloned().collect();
+        let mut probed: BTreeSet<NodeName> = self.peers.probed_nodes().cloned().collect();
         if let Some((service, _)) = self.routes.as_deref().and_then(engine) {
             let domains = self.fleet.domains(service);
-            let watched = domains.flat_map(|(domain, _)| self.peers.watched(domain));
+            let watched = domains.flat_map(|(domain, _)| self.peers.preceding_candidates(domain));
             probed.extend(watched.cloned());
         }
         for node in probed {
--- a/crates/gateway/src/control/event.rs
+++ b/crates/gateway/src/control/event.rs
@@ -1,6 +1,6 @@
 use celeryhaven_fleet::StoreContact;
 use celeryhaven_forming::FormingEvent;
-use celeryhaven_peers::{NodeProbe, NodeRecord};
+use celeryhaven_peers::{NodeRecord, ProbeResult};
 use celeryhaven_types::store::{Object, ObjectChange, ObjectVersion};
 use celeryhaven_types::{DomainName, NodeName};
 
@@ -54,7 +54,7 @@
     /// The records of all nodes, perhaps seconds old.
     Nodes(Vec<NodeRecord>),
     /// What a probe of another node showed.
-    Probed { node: NodeName, probe: NodeProbe },
+    Probed { node: NodeName, probe: ProbeResult },
     /// Another node tells a suspicion.
     Suspicion(Suspicion),
     /// The store turned a call away or did not answer it.
--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -1,7 +1,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::Sender;
-use celeryhaven_peers::{NodeRecord, heartbeat_ms};
+use celeryhaven_peers::{NodeRecord, heartbeat_interval_ms};
 use celeryhaven_store::StoreWire;
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use smol::Timer;
@@ -97,7 +97,7 @@
     /// Whether it is to be written again, among so many nodes.
     fn is_due(&self, nodes: u64) -> bool {
         let pause = match self.is_written {
-            true => Duration::from_millis(heartbeat_ms(nodes)),
+            true => Duration::from_millis(heartbeat_interval_ms(nodes)),
             false => WRITE_AGAIN,
         };
         self.written_at.elapsed() >= pause
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -29,7 +29,7 @@
             routes: self.routes.clone(),
             routables: self.routables.clone(),
             addresses: self.addresses(),
-            sharers: self.peers.live() as u32 + 1,
+            sharers: self.peers.live_count() as u32 + 1,
             ready: self.is_ready(),
             cut_off_until: self.cut_off_until,
         };
@@ -46,7 +46,7 @@
 
     /// Where callers may be sent.
     fn addresses(&self) -> Vec<SocketAddr> {
-        let named = self.peers.named(BootClock.now()).map(|record| record.caller_address);
+        let named = self.peers.advertised(BootClock.now()).map(|record| record.caller_address);
         let own = self.is_ready().then_some(self.parts.settings.caller_listen);
         named.chain(own).collect()
     }
--- a/crates/gateway/src/control/suspicions.rs
+++ b/crates/gateway/src/control/suspicions.rs
@@ -66,7 +66,7 @@
         if !self.suspicions.note(now, &suspicion) {
             return;
         }
-        let decider = self.peers.decider_of(&domain, self.is_cut_off(now));
+        let decider = self.peers.coordinator_of(&domain, self.is_cut_off(now));
         let Some(record) = decider.and_then(|node| self.peers.record(node)).cloned() else {
             return;
         };
--- a/crates/gateway/src/control/targets.rs
+++ b/crates/gateway/src/control/targets.rs
@@ -5,7 +5,7 @@
 use celeryhaven_fleet::{OrderOutcome, TargetOrder};
 use celeryhaven_forming::Reachability;
 use celeryhaven_http::{ChannelError, ChannelPool};
-use celeryhaven_peers::NodeProbe;
+use celeryhaven_peers::ProbeResult;
 use celeryhaven_types::VmName;
 use http::header::{CONTENT_TYPE, HOST};
 use http::response::Parts;
@@ -72,14 +72,14 @@
     }
 
     /// Asks a node whether it takes requests.
-    pub(crate) async fn probe_node(&self, address: SocketAddr) -> NodeProbe {
+    pub(crate) async fn probe_node(&self, address: SocketAddr) -> ProbeResult {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = http::Uri::from_static(self.adapter.paths().ready);
         match self.exchange(address, request, PROBE_TIMEOUT).await {
-            Some(Ok(answer)) if answer.status != StatusCode::OK => NodeProbe::NotReady,
-            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF) => NodeProbe::CutOff,
-            Some(Ok(_)) => NodeProbe::Ready,
-            Some(Err(_)) | None => NodeProbe::Silent,
+            Some(Ok(answer)) if answer.status != StatusCode::OK => ProbeResult::NotReady,
+            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF) => ProbeResult::CutOff,
+            Some(Ok(_)) => ProbeResult::Ready,
+            Some(Err(_)) | None => ProbeResult::Unanswered,
         }
     }
 
--- a/crates/peers/src/fleet/mod.rs
+++ b/crates/peers/src/fleet/mod.rs
@@ -4,5 +4,5 @@
 mod seen;
 mod upstream;
 
-pub use peers::{Peers, heartbeat_ms};
+pub use peers::{Peers, heartbeat_interval_ms};
 pub use upstream::Upstream;
--- a/crates/peers/src/fleet/peers.rs
+++ b/crates/peers/src/fleet/peers.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::Upstream;
 use crate::fleet::seen::Seen;
-use crate::node::{NodeProbe, NodeRecord};
+use crate::node::{NodeRecord, ProbeResult};
 use crate::ranking::Ranking;
 
 /// Heartbeats that a record may miss before its node counts as gone, and the age of a stale read,
@@ -62,7 +62,7 @@
 /// let domain = DomainName::new("rack-1");
 /// peers.set_domains([&domain]);
 /// // A node that knows no other decides for everything.
-/// assert!(peers.is_decider(&domain, false));
+/// assert!(peers.is_coordinator(&domain, false));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Peers {
@@ -107,17 +107,17 @@
     }
 
     /// Tells where this node is and what it can carry, as its record does.
-    pub fn with_own(mut self, record: &NodeRecord) -> Self {
+    pub fn with_own_record(mut self, record: &NodeRecord) -> Self {
         self.data_centre = Some(record.data_centre.clone());
-        self.capacity = record.capacity();
-        self.relays.insert_with(&self.own, self.capacity);
-        self.near_relays.insert_with(&self.own, self.capacity);
+        self.capacity = record.capacity_class();
+        self.relays.insert_with_capacity(&self.own, self.capacity);
+        self.near_relays.insert_with_capacity(&self.own, self.capacity);
         self
     }
 
     /// Takes over all records; a node whose record stays as it is has died. True if a node has come,
     /// gone or become another.
-    pub fn update(&mut self, now: TimeMs, records: Vec<NodeRecord>) -> bool {
+    pub fn apply_records(&mut self, now: TimeMs, records: Vec<NodeRecord>) -> bool {
         let put =
             records.into_iter().fold(false, |changed, record| changed | self.put(now, record));
         put | self.expire(now)
@@ -148,7 +148,7 @@
 
     /// Forgets nodes whose record has stayed as it is; true if there was one.
     fn expire(&mut self, now: TimeMs) -> bool {
-        let life_ms = STALE_MS + HEARTBEATS_MISSED * heartbeat_ms(self.seen.len() as u64);
+        let life_ms = STALE_MS + HEARTBEATS_MISSED * heartbeat_interval_ms(self.seen.len() as u64);
         let gone = self.seen.values().filter(|seen| now.since(seen.changed_at) >= life_ms);
         let gone: Vec<NodeName> = gone.map(|seen| seen.record.node.clone()).collect();
         gone.iter().for_each(|node| self.remove(node));
@@ -187,12 +187,12 @@
 
     /// Puts a node into the orders of ready ones, or takes it out.
     fn rank(&mut self, record: &NodeRecord) {
-        let (node, capacity) = (&record.node, record.capacity());
+        let (node, capacity) = (&record.node, record.capacity_class());
         let is_near = self.data_centre.as_ref().is_none_or(|own| *own == record.data_centre);
         let near = is_near.then_some(&mut self.near_relays);
         for ranking in near.into_iter().chain([&mut self.relays]) {
             match record.ready {
-                true => ranking.insert_with(node, capacity),
+                true => ranking.insert_with_capacity(node, capacity),
                 false => ranking.remove(node),
             }
         }
@@ -219,7 +219,7 @@
     }
 
     /// Takes over what a probe showed; true if that changes who lives or whom the store serves.
-    pub fn probed(&mut self, now: TimeMs, node: &NodeName, probe: NodeProbe) -> bool {
+    pub fn record_probe(&mut self, now: TimeMs, node: &NodeName, probe: ProbeResult) -> bool {
         let Some(mut seen) = self.seen.remove(node) else { return false };
         let standing = |seen: &Seen| (seen.is_live(), seen.is_served(), seen.is_cut_off());
         let before = standing(&seen);
@@ -237,12 +237,12 @@
     }
 
     /// How many other nodes live and take requests, as far as is known.
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.live
     }
 
     /// Whether the store serves another node, as far as probes show.
-    pub fn is_any_served(&self) -> bool {
+    pub fn any_has_store_access(&self) -> bool {
         self.served > 0
     }
 
@@ -252,13 +252,13 @@
     }
 
     /// Nodes to name to callers: those that this one probes and that answered lately.
-    pub fn named(&self, now: TimeMs) -> impl Iterator<Item = &NodeRecord> {
-        let seen = self.to_probe().filter_map(|node| self.seen.get(node));
+    pub fn advertised(&self, now: TimeMs) -> impl Iterator<Item = &NodeRecord> {
+        let seen = self.probed_nodes().filter_map(|node| self.seen.get(node));
         seen.filter(move |seen| seen.is_named(now)).map(|seen| &seen.record)
     }
 
     /// Nodes that this one probes for its address answers.
-    pub fn to_probe(&self) -> impl Iterator<Item = &NodeName> {
+    pub fn probed_nodes(&self) -> impl Iterator<Item = &NodeName> {
         self.to_probe.nodes().take(PROBED_NODES)
     }
 
@@ -303,8 +303,8 @@
     }
 
     /// Whether this node decides for a domain.
-    pub fn is_decider(&self, domain: &DomainName, own_is_cut_off: bool) -> bool {
-        self.decider_of(domain, own_is_cut_off) == Some(&self.own)
+    pub fn is_coordinator(&self, domain: &DomainName, own_is_cut_off: bool) -> bool {
+        self.coordinator_of(domain, own_is_cut_off) == Some(&self.own)
     }
 
     /// The node that decides for a domain, as far as this one knows.
@@ -312,9 +312,9 @@
     /// Guards against a domain whose decider is the one that the store turns away: it could write no
     /// plan, and what broke stayed broken for as long. With the store away for all, nodes keep their
     /// domains, and take apart what can be formed anew on its return.
-    pub fn decider_of(&self, domain: &DomainName, own_is_cut_off: bool) -> Option<&NodeName> {
-        let any_served = !own_is_cut_off || self.is_any_served();
-        let own_decides = !own_is_cut_off || !self.is_any_served();
+    pub fn coordinator_of(&self, domain: &DomainName, own_is_cut_off: bool) -> Option<&NodeName> {
+        let any_served = !own_is_cut_off || self.any_has_store_access();
+        let own_decides = !own_is_cut_off || !self.any_has_store_access();
         let can_decide = |seen: &Seen| seen.is_live() && (!any_served || !seen.is_cut_off());
         self.deciders.get(domain)?.nodes().find(|node| match **node == self.own {
             true => own_decides,
@@ -323,7 +323,7 @@
     }
 
     /// Nodes that decide for a domain before this one, if it is among the next.
-    pub fn watched(&self, domain: &DomainName) -> impl Iterator<Item = &NodeName> {
+    pub fn preceding_candidates(&self, domain: &DomainName) -> impl Iterator<Item = &NodeName> {
         let first =
             self.deciders.get(domain).into_iter().flat_map(Ranking::nodes).take(WATCHERS + 1);
         let first: Vec<&NodeName> = first.collect();
@@ -333,6 +333,6 @@
 }
 
 /// Time between two heartbeats of a node among so many, in milliseconds.
-pub fn heartbeat_ms(nodes: u64) -> u64 {
+pub fn heartbeat_interval_ms(nodes: u64) -> u64 {
     HEARTBEAT_MS_MIN.max(nodes * HEARTBEAT_MS_PER_NODE)
 }
--- a/crates/peers/src/fleet/seen.rs
+++ b/crates/peers/src/fleet/seen.rs
@@ -1,6 +1,6 @@
 use celeryhaven_types::TimeMs;
 
-use crate::node::{NodeProbe, NodeRecord};
+use crate::node::{NodeRecord, ProbeResult};
 
 /// Failed probes in a row after which a node counts as silent.
 const SILENT_PROBES: u32 = 2;
@@ -18,7 +18,7 @@
     pub(crate) changed_at: TimeMs,
     /// Its last answer to a probe; the record alone may be of a node that is long gone.
     answered_at: Option<TimeMs>,
-    last: Option<NodeProbe>,
+    last: Option<ProbeResult>,
     failures: u32,
 }
 
@@ -28,10 +28,10 @@
     }
 
     /// Takes over what a probe showed.
-    pub(crate) fn probed(&mut self, now: TimeMs, probe: NodeProbe) {
+    pub(crate) fn probed(&mut self, now: TimeMs, probe: ProbeResult) {
         match probe {
-            NodeProbe::Silent => self.failures = self.failures.saturating_add(1),
-            NodeProbe::Ready | NodeProbe::CutOff | NodeProbe::NotReady => {
+            ProbeResult::Unanswered => self.failures = self.failures.saturating_add(1),
+            ProbeResult::Ready | ProbeResult::CutOff | ProbeResult::NotReady => {
                 self.failures = 0;
                 self.answered_at = Some(now);
                 self.last = Some(probe);
@@ -46,17 +46,17 @@
 
     /// Whether it lives and takes requests, as far as is known.
     pub(crate) fn is_live(&self) -> bool {
-        self.failures < SILENT_PROBES && self.last != Some(NodeProbe::NotReady)
+        self.failures < SILENT_PROBES && self.last != Some(ProbeResult::NotReady)
     }
 
     /// Whether it lives and the store serves it, as far as probes show.
     pub(crate) fn is_served(&self) -> bool {
-        self.is_live() && self.last == Some(NodeProbe::Ready)
+        self.is_live() && self.last == Some(ProbeResult::Ready)
     }
 
     /// Whether it lives and says that the store does not serve it.
     pub(crate) fn is_cut_off(&self) -> bool {
-        self.is_live() && self.last == Some(NodeProbe::CutOff)
+        self.is_live() && self.last == Some(ProbeResult::CutOff)
     }
 
     /// Whether callers may be told of it.
--- a/crates/peers/src/node/node_record.rs
+++ b/crates/peers/src/node/node_record.rs
@@ -33,7 +33,7 @@
 
 impl NodeRecord {
     /// Class of what it can carry besides requests: nodes within a factor of two are alike.
-    pub fn capacity(&self) -> u32 {
+    pub fn capacity_class(&self) -> u32 {
         self.millicores.checked_ilog2().map_or(0, |log2| log2 + 1)
     }
 
--- a/crates/peers/src/node/node_probe.rs
+++ b/crates/peers/src/node/probe_result.rs
@@ -3,7 +3,7 @@
 state! {
     /// What a probe of a node showed.
     #[derive(Copy, Eq)]
-    pub enum NodeProbe {
+    pub enum ProbeResult {
         /// It takes requests.
         Ready,
         /// It takes requests, and the store does not serve it: it can write no plan.
@@ -11,6 +11,6 @@
         /// It lives and takes none: it starts or leaves.
         NotReady,
         /// It did not answer.
-        Silent,
+        Unanswered,
     }
 }
--- a/crates/peers/src/ranking/rendezvous.rs
+++ b/crates/peers/src/ranking/rendezvous.rs
@@ -41,11 +41,11 @@
 
     /// Adds a node whose capacity does not count.
     pub fn insert(&mut self, node: &NodeName) {
-        self.insert_with(node, 0);
+        self.insert_with_capacity(node, 0);
     }
 
     /// Adds a node that comes before those of a smaller capacity.
-    pub fn insert_with(&mut self, node: &NodeName, capacity: u32) {
+    pub fn insert_with_capacity(&mut self, node: &NodeName, capacity: u32) {
         self.remove(node);
         self.capacities.insert(node.clone(), capacity);
         self.order.insert((Reverse(capacity), self.weight(node), node.clone()));
--- a/crates/peers/tests/cost.rs
+++ b/crates/peers/tests/cost.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use celeryhaven_peers::{NodeProbe, NodeRecord, Peers};
+use celeryhaven_peers::{NodeRecord, Peers, ProbeResult};
 use celeryhaven_types::{DataCentreName, DomainName, NodeName, TimeMs};
 
 /// Runs of which the fastest counts, so that what else the machine does is left out.
@@ -26,18 +26,18 @@
 
 /// One probe that falls silent, one that is back, and who decides for forty domains after each.
 fn event(peers: &mut Peers, node: &NodeName, domains: &[DomainName]) -> usize {
-    let decides = |peers: &Peers| domains.iter().filter(|d| peers.is_decider(d, false)).count();
-    peers.probed(TimeMs::new(2), node, NodeProbe::Silent);
-    peers.probed(TimeMs::new(2), node, NodeProbe::Silent);
+    let decides = |peers: &Peers| domains.iter().filter(|d| peers.is_coordinator(d, false)).count();
+    peers.record_probe(TimeMs::new(2), node, ProbeResult::Unanswered);
+    peers.record_probe(TimeMs::new(2), node, ProbeResult::Unanswered);
     let before = decides(peers);
-    peers.probed(TimeMs::new(3), node, NodeProbe::Ready);
+    peers.record_probe(TimeMs::new(3), node, ProbeResult::Ready);
     before + decides(peers)
 }
 
 fn fastest(nodes: usize, domains: &[DomainName]) -> Duration {
     let mut peers = Peers::new(NodeName::new("entry-0"));
     peers.set_domains(domains);
-    peers.update(TimeMs::new(1), (0..nodes).map(record).collect());
+    peers.apply_records(TimeMs::new(1), (0..nodes).map(record).collect());
     let node = NodeName::new("entry-1");
     let run = |_| {
         let begun = Instant::now();
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use celeryhaven_peers::{NodeProbe, NodeRecord, Peers, Ranking};
+use celeryhaven_peers::{NodeRecord, Peers, ProbeResult, Ranking};
 use celeryhaven_types::{DataCentreName, DomainName, NodeName, TimeMs};
 use quickcheck::{Arbitrary, Gen};
 
@@ -39,9 +39,9 @@
     let knows = |number| {
         let mut peers = Peers::new(node(number));
         peers.set_domains(domains);
-        peers.update(NOW, records.clone());
+        peers.apply_records(NOW, records.clone());
         records.iter().for_each(|other| {
-            peers.probed(NOW, &other.node, NodeProbe::Ready);
+            peers.record_probe(NOW, &other.node, ProbeResult::Ready);
         });
         peers
     };
@@ -56,10 +56,10 @@
     for nodes in [1, 2, 9, 60] {
         let fleet = fleet(nodes, &domains);
         for domain in &domains {
-            let deciding = fleet.iter().filter(|peers| peers.is_decider(domain, false)).count();
+            let deciding = fleet.iter().filter(|peers| peers.is_coordinator(domain, false)).count();
             assert_eq!(deciding, 1, "{nodes} nodes, {domain}");
             let named: BTreeSet<_> =
-                fleet.iter().map(|peers| peers.decider_of(domain, false)).collect();
+                fleet.iter().map(|peers| peers.coordinator_of(domain, false)).collect();
             assert_eq!(named.len(), 1, "{nodes} nodes, {domain}");
         }
     }
@@ -72,13 +72,13 @@
     let domains = domains(1);
     let domain = &domains[0];
     let mut fleet = fleet(9, &domains);
-    let first = fleet[0].decider_of(domain, false).unwrap().clone();
+    let first = fleet[0].coordinator_of(domain, false).unwrap().clone();
     for peers in &mut fleet {
-        peers.probed(NOW, &first, NodeProbe::CutOff);
+        peers.record_probe(NOW, &first, ProbeResult::CutOff);
     }
     let is_first = |number: usize| node(number) == first;
     let deciding = |fleet: &[Peers]| {
-        let decides = |&number: &usize| fleet[number].is_decider(domain, is_first(number));
+        let decides = |&number: &usize| fleet[number].is_coordinator(domain, is_first(number));
         (0..9).filter(decides).collect::<Vec<_>>()
     };
     assert_eq!(deciding(&fleet).len(), 1);
@@ -86,12 +86,12 @@
     let told = fleet
         .iter()
         .enumerate()
-        .map(|(number, peers)| peers.decider_of(domain, is_first(number)).unwrap().clone());
+        .map(|(number, peers)| peers.coordinator_of(domain, is_first(number)).unwrap().clone());
     assert_eq!(told.collect::<BTreeSet<_>>(), BTreeSet::from([node(deciding(&fleet)[0])]));
     for peers in &mut fleet {
-        peers.probed(NOW, &first, NodeProbe::Ready);
+        peers.record_probe(NOW, &first, ProbeResult::Ready);
     }
-    assert!((0..9).all(|number| fleet[number].is_decider(domain, false) == is_first(number)));
+    assert!((0..9).all(|number| fleet[number].is_coordinator(domain, false) == is_first(number)));
 }
 
 /// The store is away for all. Domains stay where they are, since nobody could do better.
@@ -100,13 +100,13 @@
     let domains = domains(12);
     let mut fleet = fleet(9, &domains);
     let before: Vec<_> =
-        domains.iter().map(|domain| fleet[0].decider_of(domain, false).cloned()).collect();
+        domains.iter().map(|domain| fleet[0].coordinator_of(domain, false).cloned()).collect();
     for peers in &mut fleet {
         (0..9).for_each(|other| {
-            peers.probed(NOW, &node(other), NodeProbe::CutOff);
+            peers.record_probe(NOW, &node(other), ProbeResult::CutOff);
         });
     }
-    let after = domains.iter().map(|domain| fleet[0].decider_of(domain, true).cloned());
+    let after = domains.iter().map(|domain| fleet[0].coordinator_of(domain, true).cloned());
     assert_eq!(after.collect::<Vec<_>>(), before);
 }
 
@@ -145,8 +145,8 @@
         })
         .collect();
     let knows = |own: &NodeRecord| {
-        let mut peers = Peers::new(own.node.clone()).with_own(own);
-        peers.update(NOW, records.clone());
+        let mut peers = Peers::new(own.node.clone()).with_own_record(own);
+        peers.apply_records(NOW, records.clone());
         peers.upstream()
     };
     for own in &records {
@@ -165,7 +165,7 @@
     let root = (0..100).find(|&n| fleet[n].upstream().relay.is_none()).unwrap();
     for peers in &mut fleet {
         for _ in 0..2 {
-            peers.probed(NOW, &node(root), NodeProbe::Silent);
+            peers.record_probe(NOW, &node(root), ProbeResult::Unanswered);
         }
     }
     let others = (0..100).filter(|&n| n != root);
@@ -179,31 +179,31 @@
 #[test]
 fn named_silent_node() {
     let mut peers = Peers::new(node(0));
-    peers.update(NOW, (0..5).map(|number| record(number, 1)).collect());
+    peers.apply_records(NOW, (0..5).map(|number| record(number, 1)).collect());
     assert!(peers.has_unprobed());
-    assert_eq!(peers.named(NOW).count(), 0);
+    assert_eq!(peers.advertised(NOW).count(), 0);
     (1..5).for_each(|other| {
-        peers.probed(NOW, &node(other), NodeProbe::Ready);
+        peers.record_probe(NOW, &node(other), ProbeResult::Ready);
     });
-    assert_eq!((peers.named(NOW).count(), peers.live()), (4, 4));
-    assert!(!peers.probed(NOW, &node(1), NodeProbe::Silent));
-    assert!(peers.probed(NOW, &node(1), NodeProbe::Silent));
-    assert_eq!((peers.named(NOW).count(), peers.live()), (3, 3));
-    assert_eq!(peers.named(NOW.after(5_000)).count(), 0);
+    assert_eq!((peers.advertised(NOW).count(), peers.live_count()), (4, 4));
+    assert!(!peers.record_probe(NOW, &node(1), ProbeResult::Unanswered));
+    assert!(peers.record_probe(NOW, &node(1), ProbeResult::Unanswered));
+    assert_eq!((peers.advertised(NOW).count(), peers.live_count()), (3, 3));
+    assert_eq!(peers.advertised(NOW.after(5_000)).count(), 0);
     let late = NOW.after(60_000);
-    assert!(peers.update(late, (2..5).map(|number| record(number, 2)).collect()));
+    assert!(peers.apply_records(late, (2..5).map(|number| record(number, 2)).collect()));
     assert!(peers.record(&node(1)).is_none());
-    assert_eq!(peers.live(), 3);
+    assert_eq!(peers.live_count(), 3);
 }
 
 /// Heartbeats of all nodes come all the time and change nothing that anybody would have to follow.
 #[test]
 fn update_heartbeat_alone() {
     let mut peers = Peers::new(node(0));
-    assert!(peers.update(NOW, vec![record(1, 1)]));
-    assert!(!peers.update(NOW, vec![record(1, 2)]));
+    assert!(peers.apply_records(NOW, vec![record(1, 1)]));
+    assert!(!peers.apply_records(NOW, vec![record(1, 2)]));
     let moved = NodeRecord { peer_address: "10.0.0.9:82".parse().unwrap(), ..record(1, 3) };
-    assert!(peers.update(NOW, vec![moved]));
+    assert!(peers.apply_records(NOW, vec![moved]));
 }
 
 /// Orders that are kept as nodes come and go are those found anew, in any order of events.
@@ -220,13 +220,16 @@
             heartbeats += 1;
             let number = 1 + usize::arbitrary(&mut random) % 12;
             let takes = bool::arbitrary(&mut random);
-            peers.update(NOW, vec![NodeRecord { ready: takes, ..record(number, heartbeats) }]);
+            peers.apply_records(
+                NOW,
+                vec![NodeRecord { ready: takes, ..record(number, heartbeats) }],
+            );
             ready.insert(node(number), takes);
             for domain in &domains {
                 let mut anew = Ranking::new(domain.as_str());
                 let takes = ready.iter().filter(|&(_, &ready)| ready);
                 takes.for_each(|(node, _)| anew.insert(node));
-                assert_eq!(peers.decider_of(domain, false), anew.nodes().next(), "seed {seed}");
+                assert_eq!(peers.coordinator_of(domain, false), anew.nodes().next(), "seed {seed}");
             }
         }
     }
