--- a/crates/gateway/src/adapter/adapter_trait.rs
+++ b/crates/gateway/src/adapter/adapter_trait.rs
@@ -5,7 +5,7 @@
 use http::{HeaderMap, StatusCode};
 
 use crate::adapter::{
-    AddressAnswer, AnswerHead, CallerHead, Paths, Sending, TargetCall, Unreadable,
+    AddressAnswer, AnswerHead, CallerHead, ParseError, Paths, TargetCall, TargetRequestHead,
 };
 
 /// Translates between one platform and the product.
@@ -24,14 +24,14 @@
     /// # Errors
     ///
     /// It is not one.
-    fn configuration(&self, value: &str) -> Result<Configuration, Unreadable>;
+    fn configuration(&self, value: &str) -> Result<Configuration, ParseError>;
 
     /// Reads the entry of a target.
     ///
     /// # Errors
     ///
     /// It names no target that can be used.
-    fn target(&self, name: &VmName, value: &str) -> Result<TargetEntry, Unreadable>;
+    fn target(&self, name: &VmName, value: &str) -> Result<TargetEntry, ParseError>;
 
     /// An order as a target takes it.
     fn order(&self, order: &TargetOrder) -> TargetCall;
@@ -49,7 +49,7 @@
     fn caller_head(&self, headers: &HeaderMap) -> CallerHead;
 
     /// Turns a caller's headers into those for a target.
-    fn prepare(&self, headers: &mut HeaderMap, sending: &Sending<'_>);
+    fn prepare_headers(&self, headers: &mut HeaderMap, head: &TargetRequestHead<'_>);
 
     /// Names the target that is meant by a call; any other refuses it.
     fn expect_target(&self, headers: &mut HeaderMap, name: &VmName);
--- a/crates/gateway/src/adapter/messages.rs
+++ b/crates/gateway/src/adapter/messages.rs
@@ -38,7 +38,7 @@
 
     /// What this node says to a target beside what the caller said.
     #[derive(Eq)]
-    pub struct Sending<'a> {
+    pub struct TargetRequestHead<'a> {
         /// Time left, in milliseconds.
         pub budget_ms: u64,
         /// The target that is meant; any other refuses.
@@ -61,11 +61,11 @@
         /// The target's load.
         pub load: Option<ReportedLoad>,
         /// The member that is at fault.
-        pub accused: Option<VmName>,
+        pub reported_lost: Option<VmName>,
         /// How long the target keeps the channel idle, in seconds; `None` if it does not say.
-        pub keep_s: Option<u64>,
+        pub keep_alive_s: Option<u64>,
         /// Whether the target closes the channel after this answer.
-        pub closes: bool,
+        pub closes_channel: bool,
     }
 
     /// Load of a target as one of its answers tells it.
--- a/crates/gateway/src/adapter/mod.rs
+++ b/crates/gateway/src/adapter/mod.rs
@@ -2,10 +2,10 @@
 
 mod adapter_trait;
 mod messages;
-mod unreadable;
+mod parse_error;
 
 pub use adapter_trait::Adapter;
 pub use messages::{
-    AddressAnswer, AnswerHead, CallerHead, Paths, ReportedLoad, Sending, TargetCall,
+    AddressAnswer, AnswerHead, CallerHead, Paths, ReportedLoad, TargetCall, TargetRequestHead,
 };
-pub use unreadable::Unreadable;
+pub use parse_error::ParseError;
--- a/crates/gateway/src/control/targets.rs
+++ b/crates/gateway/src/control/targets.rs
@@ -130,7 +130,7 @@
         head: &Parts,
         body: hyper::body::Incoming,
     ) {
-        let closes = self.adapter.answer_head(head.status, &head.headers).closes;
+        let closes = self.adapter.answer_head(head.status, &head.headers).closes_channel;
         let whole = http_body_util::BodyExt::collect(body).await.is_ok();
         if whole && !closes && channel.settle().await {
             self.channels.put(address, channel, None);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -19,7 +19,7 @@
 mod traffic;
 
 pub use adapter::{
-    Adapter, AddressAnswer, AnswerHead, CallerHead, Paths, ReportedLoad, Sending, TargetCall,
-    Unreadable,
+    Adapter, AddressAnswer, AnswerHead, CallerHead, ParseError, Paths, ReportedLoad, TargetCall,
+    TargetRequestHead,
 };
 pub use process::{ProcessError, run, run_program};
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use slog::info;
 
-use crate::adapter::{Adapter, AnswerHead, Sending};
+use crate::adapter::{Adapter, AnswerHead, TargetRequestHead};
 use crate::traffic::exchange::{Exchange, Interrupt};
 use crate::traffic::{Routable, TrafficReport};
 
@@ -117,7 +117,7 @@
     fn request(&self) -> Request<Full<Bytes>> {
         let ask = &self.exchange.ask;
         let left_ms = self.exchange.time_left().as_millis() as u64;
-        let sending = Sending {
+        let sending = TargetRequestHead {
             budget_ms: left_ms.saturating_sub(WAY_MS).max(1),
             expected: &self.routable.target,
             organisation: ask.organisation.as_ref(),
@@ -125,7 +125,7 @@
             last_event_id: self.exchange.splitter.last_id(),
         };
         let mut headers = ask.headers.clone();
-        self.exchange.gate.adapter.prepare(&mut headers, &sending);
+        self.exchange.gate.adapter.prepare_headers(&mut headers, &sending);
         let mut request = Request::new(Full::new(ask.body.clone()));
         *request.method_mut() = ask.method.clone();
         *request.uri_mut() = ask.uri.clone();
@@ -147,7 +147,7 @@
     /// The target says that it has not run the request.
     fn refused(&self, response: &Response<Incoming>, head: &AnswerHead) -> AttemptEnd {
         self.note("refused by target", response.status().as_u16());
-        if let Some(accused) = &head.accused {
+        if let Some(accused) = &head.reported_lost {
             let gate = &self.exchange.gate;
             gate.notify_control(TrafficReport::Accused(accused.clone()));
             gate.refuses(&self.routable.name);
@@ -177,7 +177,7 @@
 
     /// How long the target keeps a channel, a second less than it says.
     pub(crate) fn keep(head: &AnswerHead) -> Option<Duration> {
-        head.keep_s.map(|keep_s| Duration::from_secs(keep_s.saturating_sub(1)))
+        head.keep_alive_s.map(|keep_s| Duration::from_secs(keep_s.saturating_sub(1)))
     }
 }
 
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -39,7 +39,7 @@
             true => self.relay_events(parts, body).await,
             false => self.relay_plain(parts, body).await,
         };
-        if end == AttemptEnd::Answered && !head.closes {
+        if end == AttemptEnd::Answered && !head.closes_channel {
             self.keep_channel(channel, &head).await;
         }
         end
