--- a/crates/peers/src/fleet/mod.rs
+++ b/crates/peers/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! All other nodes: who decides, who relays, who is named to callers.
+//! All other nodes: coordinators, relays, and nodes advertised to callers.
 
+mod node_state;
 mod peers;
-mod seen;
 mod upstream;
 
 pub use peers::{Peers, heartbeat_interval_ms};
--- a/crates/peers/src/fleet/peers.rs
+++ b/crates/peers/src/fleet/peers.rs
@@ -3,56 +3,49 @@
 use celeryhaven_types::{DataCentreName, DomainName, Map, NodeName, TimeMs};
 
 use crate::fleet::Upstream;
-use crate::fleet::seen::Seen;
+use crate::fleet::node_state::NodeState;
 use crate::node::{NodeRecord, ProbeResult};
 use crate::ranking::Ranking;
 
-/// Heartbeats that a record may miss before its node counts as gone, and the age of a stale read,
-/// in milliseconds.
-const HEARTBEATS_MISSED: u64 = 2;
-const STALE_MS: u64 = 4_000;
+/// Heartbeats that a record may miss before its node is removed, and the age of a stale read in
+/// milliseconds.
+const HEARTBEATS_MISSED_MAX: u64 = 2;
+const STALE_READ_MS: u64 = 4_000;
 
-/// Shortest time between two heartbeats of one node, and for each node, in milliseconds.
+/// Shortest interval between two heartbeats of one node, and the interval per node of the fleet, in
+/// milliseconds.
 ///
-/// Load: every node writes its record. Harm: written each few seconds by hundreds of nodes, records
-/// would take a quarter of the store's writes. Limit: all nodes together write some three times a
-/// second; probes tell sooner who is gone.
+/// The interval grows with the fleet, so that all nodes together write about three records per
+/// second.
 const HEARTBEAT_MS_MIN: u64 = 3_000;
 const HEARTBEAT_MS_PER_NODE: u64 = 300;
 
-/// Nodes for which there is one relay.
-///
-/// Load: every node follows the targets and the configuration. Harm: a relay spends its processor on
-/// its followers, and the smallest VMs have a tenth of a core. Limit: twenty followers each.
+/// Nodes per relay, which limits the followers of one relay.
 const NODES_PER_RELAY: usize = 20;
 
-/// Relays that follow the store itself; where there are more, those follow these.
+/// Relays that poll the store; where there are more relays, the others follow these.
 ///
-/// Load: a relay for each twenty nodes. Harm: with each at the store, calls there grow with the
-/// nodes. Limit: two, so that one may be lost; a relay whose upstream is silent asks the store.
-const ROOTS: usize = 2;
+/// Two roots tolerate the loss of one without raising the number of store calls with the fleet
+/// size.
+const ROOT_RELAYS: usize = 2;
 
-/// The key that relays are ranked for.
+/// Rendezvous key for the order of relays.
 const RELAY_KEY: &str = "relay";
 
-/// Nodes below which each asks the store itself.
-const RELAYED_NODES_MIN: usize = 5;
+/// Fleet size below which every node polls the store.
+const RELAYED_FLEET_NODES_MIN: usize = 5;
 
 /// Nodes that one node probes for its address answers.
 ///
-/// Load: hundreds of nodes. Harm: probes of all by all grow with the square of their number, and a
-/// node with a tenth of a core spends it on them. Limit: ten, chosen by rendezvous hash, so that
-/// every node is named by some and no caller is left with few addresses.
-const PROBED_NODES: usize = 10;
+/// Probing all nodes from all nodes would grow with the square of the fleet size.
+const PROBED_NODES_MAX: usize = 10;
 
-/// Nodes after a domain's decider that watch it by probes.
+/// Standby coordinators of a domain, which probe the candidates that precede them.
 ///
-/// Six, so that a domain has a decider where the store turns away a third of the nodes: reckoned, its
-/// first three are all turned away in one case of 25, its first seven in one of 1,500. The cost for a
-/// node does not grow with the fleet.
-const WATCHERS: usize = 6;
+/// Several standbys keep a domain coordinated while the store rejects the calls of some nodes.
+const STANDBY_COORDINATORS: usize = 6;
 
-/// The other nodes, as their records and probes show them.
+/// The other nodes of the fleet, derived from their records and probes.
 ///
 /// ```
 /// use celeryhaven_peers::Peers;
@@ -61,75 +54,77 @@
 /// let mut peers = Peers::new(NodeName::new("entry-1"));
 /// let domain = DomainName::new("rack-1");
 /// peers.set_domains([&domain]);
-/// // A node that knows no other decides for everything.
+/// // A node that knows no other nodes coordinates every domain.
 /// assert!(peers.is_coordinator(&domain, false));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Peers {
     own: NodeName,
-    seen: BTreeMap<NodeName, Seen>,
-    /// Nodes that live, and of those the ones that the store serves.
-    live: usize,
-    served: usize,
-    unprobed: usize,
-    /// All others, by whom this node probes first.
-    to_probe: Ranking,
-    /// The data centre of this node; `None` if all others count as near.
+    nodes: BTreeMap<NodeName, NodeState>,
+    /// Number of live nodes, and of live nodes that have store access.
+    live_count: usize,
+    store_access_count: usize,
+    unprobed_count: usize,
+    /// All other nodes, in the order in which this node probes them.
+    probe_order: Ranking,
+    /// Data centre of this node; if `None`, all nodes are treated as in the same one.
     data_centre: Option<DataCentreName>,
-    capacity: u32,
-    /// Ready nodes, this one among them, by who relays first: all, and those of its data centre.
+    capacity_class: u32,
+    /// Ready nodes, including this one, in relay order: of the fleet and of this data centre.
     relays: Ranking,
     near_relays: Ranking,
-    /// Ready nodes, this one among them, by who decides for each domain.
-    deciders: Map<DomainName, Ranking>,
+    /// Ready nodes, including this one, in coordinator order for each domain.
+    coordinators: Map<DomainName, Ranking>,
 }
 
 impl Peers {
-    /// Knows no other node yet.
+    /// Creates a view without other nodes.
     pub fn new(own: NodeName) -> Self {
         let mut relays = Ranking::new(RELAY_KEY);
         relays.insert(&own);
         let near_relays = relays.clone();
-        let to_probe = Ranking::new(own.as_str());
+        let probe_order = Ranking::new(own.as_str());
         Self {
             own,
-            seen: BTreeMap::new(),
-            live: 0,
-            served: 0,
-            unprobed: 0,
-            to_probe,
+            nodes: BTreeMap::new(),
+            live_count: 0,
+            store_access_count: 0,
+            unprobed_count: 0,
+            probe_order,
             data_centre: None,
-            capacity: 0,
+            capacity_class: 0,
             relays,
             near_relays,
-            deciders: Map::default(),
+            coordinators: Map::default(),
         }
     }
 
-    /// Tells where this node is and what it can carry, as its record does.
+    /// Sets this node's data centre and capacity class from its record.
     pub fn with_own_record(mut self, record: &NodeRecord) -> Self {
         self.data_centre = Some(record.data_centre.clone());
-        self.capacity = record.capacity_class();
-        self.relays.insert_with_capacity(&self.own, self.capacity);
-        self.near_relays.insert_with_capacity(&self.own, self.capacity);
+        self.capacity_class = record.capacity_class();
+        self.relays.insert_with_capacity(&self.own, self.capacity_class);
+        self.near_relays.insert_with_capacity(&self.own, self.capacity_class);
         self
     }
 
-    /// Takes over all records; a node whose record stays as it is has died. True if a node has come,
-    /// gone or become another.
+    /// Applies the records of all nodes and removes nodes whose record has expired.
+    ///
+    /// Returns whether a node was added, removed or changed in anything but its heartbeat.
     pub fn apply_records(&mut self, now: TimeMs, records: Vec<NodeRecord>) -> bool {
-        let put =
-            records.into_iter().fold(false, |changed, record| changed | self.put(now, record));
-        put | self.expire(now)
+        let changed_any = records
+            .into_iter()
+            .fold(false, |changed, record| changed | self.apply_record(now, record));
+        changed_any | self.expire(now)
     }
 
-    fn put(&mut self, now: TimeMs, record: NodeRecord) -> bool {
+    fn apply_record(&mut self, now: TimeMs, record: NodeRecord) -> bool {
         if record.node == self.own {
             return false;
         }
         let node = record.node.clone();
-        let Some(before) = self.seen.get_mut(&node) else {
-            self.insert(Seen::new(now, record));
+        let Some(before) = self.nodes.get_mut(&node) else {
+            self.insert(NodeState::new(now, record));
             return true;
         };
         if !record.is_newer_than(&before.record) {
@@ -142,61 +137,64 @@
             return false;
         }
         before.record = record.clone();
-        self.rank(&record);
+        self.update_rankings(&record);
         true
     }
 
-    /// Forgets nodes whose record has stayed as it is; true if there was one.
+    /// Removes nodes whose heartbeat has not changed within its lifetime; returns whether there
+    /// were any.
     fn expire(&mut self, now: TimeMs) -> bool {
-        let life_ms = STALE_MS + HEARTBEATS_MISSED * heartbeat_interval_ms(self.seen.len() as u64);
-        let gone = self.seen.values().filter(|seen| now.since(seen.changed_at) >= life_ms);
-        let gone: Vec<NodeName> = gone.map(|seen| seen.record.node.clone()).collect();
-        gone.iter().for_each(|node| self.remove(node));
-        !gone.is_empty()
+        let lifetime_ms =
+            STALE_READ_MS + HEARTBEATS_MISSED_MAX * heartbeat_interval_ms(self.nodes.len() as u64);
+        let expired =
+            self.nodes.values().filter(|state| now.since(state.changed_at) >= lifetime_ms);
+        let expired: Vec<NodeName> = expired.map(|state| state.record.node.clone()).collect();
+        expired.iter().for_each(|node| self.remove(node));
+        !expired.is_empty()
     }
 
-    fn insert(&mut self, seen: Seen) {
-        let record = seen.record.clone();
-        self.count(&seen, true);
-        self.seen.insert(record.node.clone(), seen);
-        self.to_probe.insert(&record.node);
-        self.rank(&record);
+    fn insert(&mut self, state: NodeState) {
+        let record = state.record.clone();
+        self.update_counts(&state, true);
+        self.nodes.insert(record.node.clone(), state);
+        self.probe_order.insert(&record.node);
+        self.update_rankings(&record);
     }
 
     fn remove(&mut self, node: &NodeName) {
-        let Some(seen) = self.seen.remove(node) else { return };
-        self.count(&seen, false);
-        self.to_probe.remove(node);
-        self.rank(&NodeRecord { ready: false, ..seen.record });
+        let Some(state) = self.nodes.remove(node) else { return };
+        self.update_counts(&state, false);
+        self.probe_order.remove(node);
+        self.update_rankings(&NodeRecord { ready: false, ..state.record });
     }
 
-    /// Counts a node in or out.
-    fn count(&mut self, seen: &Seen, is_in: bool) {
+    /// Adds a node to the counters, or subtracts it.
+    fn update_counts(&mut self, state: &NodeState, is_in: bool) {
         let counted = [
-            (&mut self.live, seen.is_live()),
-            (&mut self.served, seen.is_served()),
-            (&mut self.unprobed, seen.is_unprobed()),
+            (&mut self.live_count, state.is_live()),
+            (&mut self.store_access_count, state.has_store_access()),
+            (&mut self.unprobed_count, state.is_unprobed()),
         ];
-        for (count, counts) in counted {
+        for (counter, is_counted) in counted {
             match is_in {
-                true => *count += usize::from(counts),
-                false => *count -= usize::from(counts),
+                true => *counter += usize::from(is_counted),
+                false => *counter -= usize::from(is_counted),
             }
         }
     }
 
-    /// Puts a node into the orders of ready ones, or takes it out.
-    fn rank(&mut self, record: &NodeRecord) {
-        let (node, capacity) = (&record.node, record.capacity_class());
+    /// Adds a ready node to the rankings, or removes one that is not ready.
+    fn update_rankings(&mut self, record: &NodeRecord) {
+        let (node, capacity_class) = (&record.node, record.capacity_class());
         let is_near = self.data_centre.as_ref().is_none_or(|own| *own == record.data_centre);
-        let near = is_near.then_some(&mut self.near_relays);
-        for ranking in near.into_iter().chain([&mut self.relays]) {
+        let near_ranking = is_near.then_some(&mut self.near_relays);
+        for ranking in near_ranking.into_iter().chain([&mut self.relays]) {
             match record.ready {
-                true => ranking.insert_with_capacity(node, capacity),
+                true => ranking.insert_with_capacity(node, capacity_class),
                 false => ranking.remove(node),
             }
         }
-        for ranking in self.deciders.values_mut() {
+        for ranking in self.coordinators.values_mut() {
             match record.ready {
                 true => ranking.insert(node),
                 false => ranking.remove(node),
@@ -204,81 +202,81 @@
         }
     }
 
-    /// Ranks nodes for these domains and no others from now on.
+    /// Replaces the set of domains for which coordinators are ranked.
     pub fn set_domains<'a>(&mut self, domains: impl IntoIterator<Item = &'a DomainName>) {
         let domains: BTreeSet<&DomainName> = domains.into_iter().collect();
-        self.deciders.retain(|domain, _| domains.contains(domain));
+        self.coordinators.retain(|domain, _| domains.contains(domain));
         for domain in domains {
-            if self.deciders.contains_key(domain) {
+            if self.coordinators.contains_key(domain) {
                 continue;
             }
             let mut ranking = Ranking::new(domain.as_str());
             self.relays.nodes().for_each(|node| ranking.insert(node));
-            self.deciders.insert(domain.clone(), ranking);
+            self.coordinators.insert(domain.clone(), ranking);
         }
     }
 
-    /// Takes over what a probe showed; true if that changes who lives or whom the store serves.
-    pub fn record_probe(&mut self, now: TimeMs, node: &NodeName, probe: ProbeResult) -> bool {
-        let Some(mut seen) = self.seen.remove(node) else { return false };
-        let standing = |seen: &Seen| (seen.is_live(), seen.is_served(), seen.is_cut_off());
-        let before = standing(&seen);
-        self.count(&seen, false);
-        seen.probed(now, probe);
-        self.count(&seen, true);
-        let changed = before != standing(&seen);
-        self.seen.insert(node.clone(), seen);
+    /// Records a probe result; returns whether the node's liveness or store access has changed.
+    pub fn record_probe(&mut self, now: TimeMs, node: &NodeName, result: ProbeResult) -> bool {
+        let Some(mut state) = self.nodes.remove(node) else { return false };
+        let status =
+            |state: &NodeState| (state.is_live(), state.has_store_access(), state.is_cut_off());
+        let before = status(&state);
+        self.update_counts(&state, false);
+        state.record_probe(now, result);
+        self.update_counts(&state, true);
+        let changed = before != status(&state);
+        self.nodes.insert(node.clone(), state);
         changed
     }
 
-    /// Whether a node has never been probed.
+    /// Whether any node has not been probed yet.
     pub fn has_unprobed(&self) -> bool {
-        self.unprobed > 0
+        self.unprobed_count > 0
     }
 
-    /// How many other nodes live and take requests, as far as is known.
+    /// Returns the number of other nodes that are assumed to be live and to accept requests.
     pub fn live_count(&self) -> usize {
-        self.live
+        self.live_count
     }
 
-    /// Whether the store serves another node, as far as probes show.
+    /// Whether another node has store access, according to the last probes.
     pub fn any_has_store_access(&self) -> bool {
-        self.served > 0
+        self.store_access_count > 0
     }
 
-    /// The record of a node.
+    /// Returns the record of a node.
     pub fn record(&self, node: &NodeName) -> Option<&NodeRecord> {
-        self.seen.get(node).map(|seen| &seen.record)
+        self.nodes.get(node).map(|state| &state.record)
     }
 
-    /// Nodes to name to callers: those that this one probes and that answered lately.
+    /// Returns the nodes to advertise to callers: probed nodes that answered recently.
     pub fn advertised(&self, now: TimeMs) -> impl Iterator<Item = &NodeRecord> {
-        let seen = self.probed_nodes().filter_map(|node| self.seen.get(node));
-        seen.filter(move |seen| seen.is_named(now)).map(|seen| &seen.record)
+        let states = self.probed_nodes().filter_map(|node| self.nodes.get(node));
+        states.filter(move |state| state.is_advertised(now)).map(|state| &state.record)
     }
 
-    /// Nodes that this one probes for its address answers.
+    /// Returns the nodes that this one probes for its address answers.
     pub fn probed_nodes(&self) -> impl Iterator<Item = &NodeName> {
-        self.to_probe.nodes().take(PROBED_NODES)
+        self.probe_order.nodes().take(PROBED_NODES_MAX)
     }
 
-    /// Whom this node asks for what the store holds, and whether others ask it.
+    /// Returns where this node reads the store's objects, and whether other nodes follow it.
     ///
-    /// Load: hundreds of nodes before a store whose calls are rationed and priced. Harm: a watch of
-    /// each node and kind is most of its calls, and what crosses data centres is priced too. Limit: a
-    /// tree of two levels, two nodes at the store, below them in each data centre one relay for some
-    /// twenty nodes; nodes with more of a core come first.
+    /// Hundreds of nodes that each poll the store would exceed its call quota, so that the nodes
+    /// form a tree: two roots poll the store, relays in each data centre follow the roots, and all
+    /// other nodes follow a relay. Nodes with a higher capacity class are preferred as relays.
     pub fn upstream(&self) -> Upstream {
-        if self.live + 1 < RELAYED_NODES_MIN {
+        if self.live_count + 1 < RELAYED_FLEET_NODES_MIN {
             return Upstream { relay: None, is_relay: false };
         }
         let ready = self.relays.nodes().filter(|node| self.is_live_or_own(node));
-        let roots: Vec<NodeName> = ready.take(ROOTS).cloned().collect();
+        let roots: Vec<NodeName> = ready.take(ROOT_RELAYS).cloned().collect();
         if roots.contains(&self.own) {
             return Upstream { relay: None, is_relay: true };
         }
-        let below = match (self.live + 1) / NODES_PER_RELAY {
-            few if few <= ROOTS => Vec::new(),
+        let below = match (self.live_count + 1) / NODES_PER_RELAY {
+            few if few <= ROOT_RELAYS => Vec::new(),
             _ => self.relays_below(&roots),
         };
         let is_relay = below.contains(&&self.own);
@@ -286,53 +284,60 @@
             true => roots.iter().collect(),
             false => below,
         };
-        let nearest = followed.into_iter().min_by_key(|node| self.to_probe.weight(node));
-        let relay = nearest.and_then(|node| self.record(node)).cloned();
+        let preferred = followed.into_iter().min_by_key(|node| self.probe_order.weight(node));
+        let relay = preferred.and_then(|node| self.record(node)).cloned();
         Upstream { relay, is_relay }
     }
 
-    /// Relays of this node's data centre that follow the roots.
+    /// Returns the relays of this node's data centre that follow the roots.
     fn relays_below(&self, roots: &[NodeName]) -> Vec<&NodeName> {
-        let count = (self.near_relays.len() / NODES_PER_RELAY).max(1);
-        let near = self.near_relays.nodes().filter(|node| !roots.contains(node));
-        near.filter(|node| self.is_live_or_own(node)).take(count).collect()
+        let relay_count = (self.near_relays.len() / NODES_PER_RELAY).max(1);
+        let candidates = self.near_relays.nodes().filter(|node| !roots.contains(node));
+        candidates.filter(|node| self.is_live_or_own(node)).take(relay_count).collect()
     }
 
     fn is_live_or_own(&self, node: &NodeName) -> bool {
-        *node == self.own || self.seen.get(node).is_some_and(Seen::is_live)
+        *node == self.own || self.nodes.get(node).is_some_and(NodeState::is_live)
     }
 
-    /// Whether this node decides for a domain.
+    /// Whether this node coordinates a domain.
     pub fn is_coordinator(&self, domain: &DomainName, own_is_cut_off: bool) -> bool {
         self.coordinator_of(domain, own_is_cut_off) == Some(&self.own)
     }
 
-    /// The node that decides for a domain, as far as this one knows.
+    /// Returns the coordinator of a domain, as far as this node knows.
     ///
-    /// Guards against a domain whose decider is the one that the store turns away: it could write no
-    /// plan, and what broke stayed broken for as long. With the store away for all, nodes keep their
-    /// domains, and take apart what can be formed anew on its return.
+    /// A coordinator that is cut off from the store could not write a plan, so the next candidate
+    /// with store access takes its place. If the store is unavailable to all nodes, the domains
+    /// keep their coordinators.
     pub fn coordinator_of(&self, domain: &DomainName, own_is_cut_off: bool) -> Option<&NodeName> {
-        let any_served = !own_is_cut_off || self.any_has_store_access();
-        let own_decides = !own_is_cut_off || !self.any_has_store_access();
-        let can_decide = |seen: &Seen| seen.is_live() && (!any_served || !seen.is_cut_off());
-        self.deciders.get(domain)?.nodes().find(|node| match **node == self.own {
-            true => own_decides,
-            false => self.seen.get(*node).is_some_and(can_decide),
+        let any_has_access = !own_is_cut_off || self.any_has_store_access();
+        let own_can_coordinate = !own_is_cut_off || !self.any_has_store_access();
+        let can_coordinate =
+            |state: &NodeState| state.is_live() && (!any_has_access || !state.is_cut_off());
+        self.coordinators.get(domain)?.nodes().find(|node| match **node == self.own {
+            true => own_can_coordinate,
+            false => self.nodes.get(*node).is_some_and(can_coordinate),
         })
     }
 
-    /// Nodes that decide for a domain before this one, if it is among the next.
+    /// Returns the candidates that precede this node in a domain's coordinator order, if this node
+    /// is the coordinator or one of its standbys.
     pub fn preceding_candidates(&self, domain: &DomainName) -> impl Iterator<Item = &NodeName> {
-        let first =
-            self.deciders.get(domain).into_iter().flat_map(Ranking::nodes).take(WATCHERS + 1);
-        let first: Vec<&NodeName> = first.collect();
-        let place = first.iter().position(|node| **node == self.own).unwrap_or_default();
-        first.into_iter().take(place)
+        let candidates = self
+            .coordinators
+            .get(domain)
+            .into_iter()
+            .flat_map(Ranking::nodes)
+            .take(STANDBY_COORDINATORS + 1);
+        let candidates: Vec<&NodeName> = candidates.collect();
+        let position = candidates.iter().position(|node| **node == self.own).unwrap_or_default();
+        candidates.into_iter().take(position)
     }
 }
 
-/// Time between two heartbeats of a node among so many, in milliseconds.
+/// Returns the interval between two heartbeats of a node, for a fleet of `nodes` nodes, in
+/// milliseconds.
 pub fn heartbeat_interval_ms(nodes: u64) -> u64 {
     HEARTBEAT_MS_MIN.max(nodes * HEARTBEAT_MS_PER_NODE)
 }
--- a/crates/peers/src/fleet/upstream.rs
+++ b/crates/peers/src/fleet/upstream.rs
@@ -3,11 +3,11 @@
 use crate::node::NodeRecord;
 
 state! {
-    /// Whom a node asks for what the store holds, and whether others ask it.
+    /// Source from which a node reads the store's objects, and whether it is a relay itself.
     pub struct Upstream {
-        /// Whom it asks; `None` for the store itself.
+        /// Relay that this node follows; `None` for the store itself.
         pub relay: Option<NodeRecord>,
-        /// Whether other nodes follow it.
+        /// Whether other nodes follow this one.
         pub is_relay: bool,
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,10 +1,10 @@
-//! The other nodes of a fleet, as their records and probes show them, without I/O.
+//! Membership view of a fleet: the other nodes, derived from their records and probes, without I/O.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`node`] | what a node tells of itself, and what a probe of it showed |
-//! | [`ranking`] | nodes in an order that every node finds alike |
-//! | [`fleet`] | all other nodes: who decides, who relays, who is named to callers |
+//! | [`node`] | node records and probe results |
+//! | [`ranking`] | node order that is the same on every node |
+//! | [`fleet`] | all other nodes: coordinators, relays, and nodes advertised to callers |
 
 pub mod fleet;
 pub mod node;
--- a/crates/peers/src/node/mod.rs
+++ b/crates/peers/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself, and what a probe of it showed.
+//! Node records and probe results.
 
 mod node_record;
 mod probe_result;
--- a/crates/peers/src/node/node_record.rs
+++ b/crates/peers/src/node/node_record.rs
@@ -4,40 +4,42 @@
 use celeryhaven_types::{DataCentreName, NodeName};
 
 data! {
-    /// What a node tells the others of itself.
+    /// Record that a node publishes about itself in the store.
     #[derive(Eq)]
     pub struct NodeRecord {
-        /// Its name.
+        /// Name of the node.
         pub node: NodeName,
-        /// Its data centre.
+        /// Data centre of the node.
         pub data_centre: DataCentreName,
-        /// Where it takes callers' requests.
+        /// Address for callers' requests.
         pub caller_address: SocketAddr,
-        /// Where it tells whether it takes requests.
+        /// Address of the readiness endpoint.
         pub ready_address: SocketAddr,
-        /// Where it answers nodes that follow it.
+        /// Address for requests of other nodes.
         pub peer_address: SocketAddr,
-        /// What those nodes show it; only who reads the store knows it.
+        /// Bearer token that other nodes present; only readers of the store know it.
         pub token: String,
-        /// Tells one start of its process from the next.
+        /// Number of this start of the process, higher than that of the start before.
         pub boot: u64,
-        /// Grows while it lives.
+        /// Counter that increases with each heartbeat.
         pub heartbeat: u64,
-        /// Whether it takes requests.
+        /// Whether the node accepts requests.
         pub ready: bool,
-        /// Thousandths of a core that it may use; 0 if that is not told.
+        /// Available processor time in thousandths of a core; 0 if unknown.
         #[serde(default)]
         pub millicores: u32,
     }
 }
 
 impl NodeRecord {
-    /// Class of what it can carry besides requests: nodes within a factor of two are alike.
+    /// Returns the node's capacity class: the bit length of its millicores.
+    ///
+    /// Nodes within a factor of two are treated as equal when relays are ordered.
     pub fn capacity_class(&self) -> u32 {
         self.millicores.checked_ilog2().map_or(0, |log2| log2 + 1)
     }
 
-    /// Whether this record was written after another of the same node.
+    /// Whether this record was written after another one of the same node.
     pub fn is_newer_than(&self, other: &Self) -> bool {
         (self.boot, self.heartbeat) > (other.boot, other.heartbeat)
     }
--- a/crates/peers/src/node/probe_result.rs
+++ b/crates/peers/src/node/probe_result.rs
@@ -1,16 +1,16 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// What a probe of a node showed.
+    /// Result of a readiness probe of a node.
     #[derive(Copy, Eq)]
     pub enum ProbeResult {
-        /// It takes requests.
+        /// The node accepts requests.
         Ready,
-        /// It takes requests, and the store does not serve it: it can write no plan.
+        /// The node accepts requests but is cut off from the store, so it cannot write a plan.
         CutOff,
-        /// It lives and takes none: it starts or leaves.
+        /// The node answers but accepts no requests: it is starting or stopping.
         NotReady,
-        /// It did not answer.
+        /// The node did not answer.
         Unanswered,
     }
 }
--- a/crates/peers/src/ranking/mod.rs
+++ b/crates/peers/src/ranking/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes in an order that every node finds alike.
+//! Node order that is the same on every node.
 
 mod rendezvous;
 
--- a/crates/peers/src/ranking/rendezvous.rs
+++ b/crates/peers/src/ranking/rendezvous.rs
@@ -4,16 +4,14 @@
 use celeryhaven_types::{Map, NodeName};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Nodes in the order of their capacity and then of their rendezvous weights for one key, the heaviest
-/// first.
+/// Nodes ordered by capacity class and then by rendezvous weight for one key, highest first.
 ///
-/// Every node that knows the same nodes finds the same order, and where one joins or leaves the
-/// others keep theirs. A weight is worked out once, when its node joins: with hundreds of nodes and
-/// some tens of keys, to weigh and sort them anew at each question took more of a small VM than its
-/// requests.
+/// All nodes that know the same members compute the same order, and a node that joins or leaves
+/// does not change the order of the others. The order is kept sorted and updated on membership
+/// changes, so that a lookup needs no hashing or sorting.
 ///
-/// Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998. The
-/// hash is XXH3, which is the same on every node.
+/// See Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998. The hash is
+/// XXH3, which gives the same value on every node.
 ///
 /// ```
 /// use celeryhaven_peers::Ranking;
@@ -34,46 +32,46 @@
 }
 
 impl Ranking {
-    /// An order without nodes, for a key.
+    /// Creates an empty ranking for a key.
     pub fn new(key: &str) -> Self {
         Self { seed: xxh3_64(key.as_bytes()), order: BTreeSet::new(), capacities: Map::default() }
     }
 
-    /// Adds a node whose capacity does not count.
+    /// Adds a node with capacity class 0.
     pub fn insert(&mut self, node: &NodeName) {
         self.insert_with_capacity(node, 0);
     }
 
-    /// Adds a node that comes before those of a smaller capacity.
+    /// Adds a node with a capacity class; it precedes all nodes of a lower class.
     pub fn insert_with_capacity(&mut self, node: &NodeName, capacity: u32) {
         self.remove(node);
         self.capacities.insert(node.clone(), capacity);
         self.order.insert((Reverse(capacity), self.weight(node), node.clone()));
     }
 
-    /// Removes a node, if it is there.
+    /// Removes a node, if present.
     pub fn remove(&mut self, node: &NodeName) {
         if let Some(capacity) = self.capacities.remove(node) {
             self.order.remove(&(Reverse(capacity), self.weight(node), node.clone()));
         }
     }
 
-    /// The nodes in order.
+    /// Returns the nodes in order.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeName> {
         self.order.iter().map(|(.., node)| node)
     }
 
-    /// How many there are.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether there is none.
+    /// Whether the ranking has no nodes.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// What nodes of the same capacity are ordered by.
+    /// Returns the weight by which nodes of the same capacity class are ordered.
     pub fn weight(&self, node: &NodeName) -> Reverse<u64> {
         Reverse(xxh3_64_with_seed(node.as_str().as_bytes(), self.seed))
     }
--- a/crates/peers/tests/cost.rs
+++ b/crates/peers/tests/cost.rs
@@ -1,11 +1,11 @@
-//! What an event costs a node, by the number of nodes.
+//! Processing cost of a membership event by fleet size.
 
 use std::time::{Duration, Instant};
 
 use celeryhaven_peers::{NodeRecord, Peers, ProbeResult};
 use celeryhaven_types::{DataCentreName, DomainName, NodeName, TimeMs};
 
-/// Runs of which the fastest counts, so that what else the machine does is left out.
+/// Number of runs; the fastest one is used to exclude load from other processes.
 const RUNS: u32 = 30;
 
 fn record(number: usize) -> NodeRecord {
@@ -24,14 +24,16 @@
     }
 }
 
-/// One probe that falls silent, one that is back, and who decides for forty domains after each.
-fn event(peers: &mut Peers, node: &NodeName, domains: &[DomainName]) -> usize {
-    let decides = |peers: &Peers| domains.iter().filter(|d| peers.is_coordinator(d, false)).count();
+/// Applies two unanswered probes and then an answered one; returns the coordinated domains after
+/// each step.
+fn apply_events(peers: &mut Peers, node: &NodeName, domains: &[DomainName]) -> usize {
+    let coordinated =
+        |peers: &Peers| domains.iter().filter(|d| peers.is_coordinator(d, false)).count();
     peers.record_probe(TimeMs::new(2), node, ProbeResult::Unanswered);
     peers.record_probe(TimeMs::new(2), node, ProbeResult::Unanswered);
-    let before = decides(peers);
+    let before = coordinated(peers);
     peers.record_probe(TimeMs::new(3), node, ProbeResult::Ready);
-    before + decides(peers)
+    before + coordinated(peers)
 }
 
 fn fastest(nodes: usize, domains: &[DomainName]) -> Duration {
@@ -40,19 +42,19 @@
     peers.apply_records(TimeMs::new(1), (0..nodes).map(record).collect());
     let node = NodeName::new("entry-1");
     let run = |_| {
-        let begun = Instant::now();
-        let decided: usize = (0..20).map(|_| event(&mut peers, &node, domains)).sum();
-        assert!(decided <= 20 * 2 * domains.len());
-        begun.elapsed()
+        let started = Instant::now();
+        let coordinated_total: usize =
+            (0..20).map(|_| apply_events(&mut peers, &node, domains)).sum();
+        assert!(coordinated_total <= 20 * 2 * domains.len());
+        started.elapsed()
     };
     (0..RUNS).map(run).min().unwrap_or_default()
 }
 
-/// The smallest VMs have a tenth of a core. Where each probe ranked all nodes for all domains anew,
-/// control took most of it at two hundred nodes, and requests were late although replicas were free.
-/// Ten times the nodes may cost a few times as much, and not ten times.
+/// The cost of a probe result must not grow linearly with the fleet, as it does if each of them
+/// ranks all nodes for all domains again.
 #[test]
-fn is_decider_cost_by_nodes() {
+fn is_coordinator_cost_by_nodes() {
     let domains: Vec<_> = (0..40).map(|n| DomainName::new(format!("rack-{n}"))).collect();
     let costs = [10, 100, 300, 1_000].map(|nodes| (nodes, fastest(nodes, &domains)));
     println!("nodes and time of twenty events: {costs:?}");
--- a/crates/peers/tests/peers.rs
+++ b/crates/peers/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Who decides, relays and is named, as nodes come, go and fall silent.
+//! Selection of coordinators, relays and advertised nodes as nodes join, leave and become
+//! unreachable.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -33,10 +34,10 @@
     (0..count).map(|number| DomainName::new(format!("rack-{number}"))).collect()
 }
 
-/// What each of so many nodes knows, all of them live and answering.
+/// Returns the view of each node in a fleet where all nodes are live and answer probes.
 fn fleet(nodes: usize, domains: &[DomainName]) -> Vec<Peers> {
     let records: Vec<_> = (0..nodes).map(|number| record(number, 1)).collect();
-    let knows = |number| {
+    let peers_of = |number| {
         let mut peers = Peers::new(node(number));
         peers.set_domains(domains);
         peers.apply_records(NOW, records.clone());
@@ -45,30 +46,31 @@
         });
         peers
     };
-    (0..nodes).map(knows).collect()
+    (0..nodes).map(peers_of).collect()
 }
 
-/// Two nodes that decide for one domain plan the same targets twice, none leaves what broke as it
-/// is: of nodes that know the same, exactly one decides for each domain, and all name it.
+/// A domain with two coordinators would have the same targets planned twice; one without a
+/// coordinator would never be repaired.
 #[test]
-fn is_decider_one_of_all() {
+fn is_coordinator_exactly_one() {
     let domains = domains(40);
     for nodes in [1, 2, 9, 60] {
         let fleet = fleet(nodes, &domains);
         for domain in &domains {
-            let deciding = fleet.iter().filter(|peers| peers.is_coordinator(domain, false)).count();
-            assert_eq!(deciding, 1, "{nodes} nodes, {domain}");
-            let named: BTreeSet<_> =
+            let coordinating =
+                fleet.iter().filter(|peers| peers.is_coordinator(domain, false)).count();
+            assert_eq!(coordinating, 1, "{nodes} nodes, {domain}");
+            let coordinators: BTreeSet<_> =
                 fleet.iter().map(|peers| peers.coordinator_of(domain, false)).collect();
-            assert_eq!(named.len(), 1, "{nodes} nodes, {domain}");
+            assert_eq!(coordinators.len(), 1, "{nodes} nodes, {domain}");
         }
     }
 }
 
-/// The store turns a decider away while it serves others. The next one in order decides, the one
-/// that is turned away does not, and once it is served again it takes its domain back.
+/// A coordinator whose calls the store rejects cannot write plans, so the next candidate must take
+/// the domain until the first one has store access again.
 #[test]
-fn is_decider_turned_away() {
+fn is_coordinator_store_rejects() {
     let domains = domains(1);
     let domain = &domains[0];
     let mut fleet = fleet(9, &domains);
@@ -77,26 +79,26 @@
         peers.record_probe(NOW, &first, ProbeResult::CutOff);
     }
     let is_first = |number: usize| node(number) == first;
-    let deciding = |fleet: &[Peers]| {
-        let decides = |&number: &usize| fleet[number].is_coordinator(domain, is_first(number));
-        (0..9).filter(decides).collect::<Vec<_>>()
+    let coordinating = |fleet: &[Peers]| {
+        let coordinates = |&number: &usize| fleet[number].is_coordinator(domain, is_first(number));
+        (0..9).filter(coordinates).collect::<Vec<_>>()
     };
-    assert_eq!(deciding(&fleet).len(), 1);
-    assert!(!is_first(deciding(&fleet)[0]));
-    let told = fleet
+    assert_eq!(coordinating(&fleet).len(), 1);
+    assert!(!is_first(coordinating(&fleet)[0]));
+    let reported = fleet
         .iter()
         .enumerate()
         .map(|(number, peers)| peers.coordinator_of(domain, is_first(number)).unwrap().clone());
-    assert_eq!(told.collect::<BTreeSet<_>>(), BTreeSet::from([node(deciding(&fleet)[0])]));
+    assert_eq!(reported.collect::<BTreeSet<_>>(), BTreeSet::from([node(coordinating(&fleet)[0])]));
     for peers in &mut fleet {
         peers.record_probe(NOW, &first, ProbeResult::Ready);
     }
     assert!((0..9).all(|number| fleet[number].is_coordinator(domain, false) == is_first(number)));
 }
 
-/// The store is away for all. Domains stay where they are, since nobody could do better.
+/// Domains must keep their coordinators while the store is unavailable to all nodes.
 #[test]
-fn is_decider_store_away() {
+fn is_coordinator_store_unavailable() {
     let domains = domains(12);
     let mut fleet = fleet(9, &domains);
     let before: Vec<_> =
@@ -110,8 +112,7 @@
     assert_eq!(after.collect::<Vec<_>>(), before);
 }
 
-/// Relays stand in a tree: two ask the store, relays below them ask those, all others a relay. With
-/// each relay at the store, calls there grew with the fleet.
+/// Store calls would grow with the fleet if every relay polled the store; only the two roots may.
 #[test]
 fn upstream_tree() {
     for (nodes, relays) in [(4, 0), (9, 2), (59, 2), (60, 5), (195, 11), (340, 19)] {
@@ -128,15 +129,16 @@
             assert!(is_relay.contains(&relay.node), "{nodes} nodes");
             *followers.entry(relay.node.clone()).or_default() += 1;
         }
-        // Chosen by hash, a relay has up to twice its even part.
+        // Relays are chosen by hash, so a relay may have up to twice the average number of
+        // followers.
         assert!(followers.values().all(|&count| count <= 40), "{nodes} nodes: {followers:?}");
     }
 }
 
-/// Guards against relays on the smallest nodes, and against a relay in another data centre: what it
-/// answers would cross once for each follower.
+/// Relays on the smallest nodes would be overloaded by their followers, and a relay in another data
+/// centre would multiply the traffic between data centres.
 #[test]
-fn upstream_by_place_and_capacity() {
+fn upstream_by_data_centre_and_capacity() {
     let records: Vec<_> = (0..150)
         .map(|number| NodeRecord {
             data_centre: DataCentreName::new(["a", "b", "c"][number % 3]),
@@ -144,13 +146,13 @@
             ..record(number, 1)
         })
         .collect();
-    let knows = |own: &NodeRecord| {
+    let peers_of = |own: &NodeRecord| {
         let mut peers = Peers::new(own.node.clone()).with_own_record(own);
         peers.apply_records(NOW, records.clone());
         peers.upstream()
     };
     for own in &records {
-        let upstream = knows(own);
+        let upstream = peers_of(own);
         assert!(!upstream.is_relay || own.millicores == 500, "{} relays", own.node);
         if let Some(relay) = upstream.relay.filter(|_| !upstream.is_relay) {
             assert_eq!(relay.data_centre, own.data_centre, "{}", own.node);
@@ -158,7 +160,7 @@
     }
 }
 
-/// A root relay falls silent. Who followed it follows the other one or the next that takes its place.
+/// Followers of a root that has become unreachable must follow another one.
 #[test]
 fn upstream_root_silent() {
     let mut fleet = fleet(100, &[]);
@@ -174,10 +176,10 @@
     assert_eq!(upstreams.iter().filter(|upstream| upstream.relay.is_none()).count(), 2);
 }
 
-/// A node that is gone keeps its record for a while. It is not named to callers once it answers no
-/// probe, and is forgotten when its record has stayed as it was for long.
+/// Callers must not be sent to a node that has stopped answering probes while its record is still
+/// in the store.
 #[test]
-fn named_silent_node() {
+fn advertised_unanswered_node() {
     let mut peers = Peers::new(node(0));
     peers.apply_records(NOW, (0..5).map(|number| record(number, 1)).collect());
     assert!(peers.has_unprobed());
@@ -196,7 +198,7 @@
     assert_eq!(peers.live_count(), 3);
 }
 
-/// Heartbeats of all nodes come all the time and change nothing that anybody would have to follow.
+/// A heartbeat alone must not be reported as a change, or every node would process all heartbeats.
 #[test]
 fn update_heartbeat_alone() {
     let mut peers = Peers::new(node(0));
@@ -206,9 +208,9 @@
     assert!(peers.apply_records(NOW, vec![moved]));
 }
 
-/// Orders that are kept as nodes come and go are those found anew, in any order of events.
+/// Incrementally updated rankings must equal rebuilt ones for any order of events.
 #[test]
-fn ranking_as_found_anew() {
+fn ranking_as_rebuilt() {
     for seed in 0..100 {
         let mut random = Gen::from_size_and_seed(10, seed);
         let domains = domains(3);
@@ -219,17 +221,21 @@
         for _ in 0..40 {
             heartbeats += 1;
             let number = 1 + usize::arbitrary(&mut random) % 12;
-            let takes = bool::arbitrary(&mut random);
+            let is_ready = bool::arbitrary(&mut random);
             peers.apply_records(
                 NOW,
-                vec![NodeRecord { ready: takes, ..record(number, heartbeats) }],
+                vec![NodeRecord { ready: is_ready, ..record(number, heartbeats) }],
             );
-            ready.insert(node(number), takes);
+            ready.insert(node(number), is_ready);
             for domain in &domains {
-                let mut anew = Ranking::new(domain.as_str());
-                let takes = ready.iter().filter(|&(_, &ready)| ready);
-                takes.for_each(|(node, _)| anew.insert(node));
-                assert_eq!(peers.coordinator_of(domain, false), anew.nodes().next(), "seed {seed}");
+                let mut rebuilt = Ranking::new(domain.as_str());
+                let ready_nodes = ready.iter().filter(|&(_, &ready)| ready);
+                ready_nodes.for_each(|(node, _)| rebuilt.insert(node));
+                assert_eq!(
+                    peers.coordinator_of(domain, false),
+                    rebuilt.nodes().next(),
+                    "seed {seed}"
+                );
             }
         }
     }
