--- a/crates/forming/src/interface/mod.rs
+++ b/crates/forming/src/interface/mod.rs
@@ -1,11 +1,11 @@
-//! What a [`DomainPlanner`](crate::DomainPlanner) hears and does, and its settings.
+//! Events, actions, input and settings of a [`DomainPlanner`](crate::DomainPlanner).
 
 mod action;
 mod event;
 mod settings;
 mod view;
 
-pub use action::{FormingAction, OrderCall};
+pub use action::{FormingAction, OrderId};
 pub use event::{FormingEvent, Reachability};
 pub use settings::FormingSettings;
 pub use view::{FormingView, ListedDomain};
--- a/crates/gateway/src/adapter/adapter_trait.rs
+++ b/crates/gateway/src/adapter/adapter_trait.rs
@@ -1,5 +1,5 @@
 use celeryhaven_fleet::{Configuration, OrderOutcome, TargetEntry, TargetOrder};
-use celeryhaven_store::StoreWire;
+use celeryhaven_store::StoreCodec;
 use celeryhaven_types::VmName;
 use celeryhaven_types::store::ObjectKey;
 use http::{HeaderMap, StatusCode};
@@ -12,7 +12,7 @@
 ///
 /// An adapter is stateless and makes no decisions: each function parses input of the platform or
 /// encodes values for it. Implementations must not panic on any input.
-pub trait Adapter: StoreWire + Clone + Send + Sync + 'static {
+pub trait Adapter: StoreCodec + Clone + Send + Sync + 'static {
     /// Returns the key of the configuration object.
     fn configuration_key(&self) -> ObjectKey;
 
--- a/crates/gateway/src/control/control_loop.rs
+++ b/crates/gateway/src/control/control_loop.rs
@@ -43,7 +43,7 @@
 
 /// Limits for connections of other nodes.
 const PEER_SERVER_LIMITS: ServerLimits =
-    ServerLimits { header_bytes_max: 8 * 1024, idle: Duration::from_secs(30) };
+    ServerLimits { header_bytes_max: 8 * 1024, idle_timeout: Duration::from_secs(30) };
 
 /// Dependencies and settings of the control thread.
 pub(crate) struct ControlParts<A> {
--- a/crates/gateway/src/control/coordination.rs
+++ b/crates/gateway/src/control/coordination.rs
@@ -55,7 +55,7 @@
         let coordinated =
             coordinated.filter(|domain| self.peers.is_coordinator(domain, is_cut_off));
         let coordinated: BTreeSet<DomainName> = coordinated.map(|&domain| domain.clone()).collect();
-        let settings = FormingSettings::default().with_loads(
+        let settings = FormingSettings::default().with_load_limits(
             profile.loads_per_s,
             profile.loads_at_once,
             all.len(),
@@ -101,7 +101,7 @@
         let Some(routes) = self.routes.clone() else { return };
         let Some((service, profile)) = engine_service(&routes) else { return };
         let targets = self.fleet.domains(service).map(|(_, targets)| targets.ready()).sum();
-        let fleet = tree.fleet(now);
+        let fleet = tree.fleet_demand(now);
         let size = FleetSize { nodes: self.peers.live_count() as u32 + 1, targets };
         if self.shares.update(&profile.models, profile.slots, size, &fleet) {
             for (model, share) in profile.models.iter().zip(self.shares.as_slice()) {
@@ -174,8 +174,16 @@
     fleet: &'a FleetView,
     profile: &'a EngineProfile,
     domains: &'a [ListedDomain<'a>],
-    (traffic_seen, store_serves): (bool, bool),
+    (traffic_seen, store_available): (bool, bool),
 ) -> FormingView<'a> {
-    let (replicas, shown) = (fleet.replicas(), fleet.shown());
-    FormingView { fleet, replicas, shown, profile, domains, traffic_seen, store_serves }
+    let (replicas, recently_listed) = (fleet.replicas(), fleet.shown());
+    FormingView {
+        fleet,
+        replicas,
+        recently_listed,
+        profile,
+        domains,
+        traffic_seen,
+        store_available,
+    }
 }
--- a/crates/gateway/src/control/coordinators.rs
+++ b/crates/gateway/src/control/coordinators.rs
@@ -121,7 +121,7 @@
             // An unreadable record is replaced by an empty one; the reports of the members restore
             // the state.
             let record: DomainRecord = serde_json::from_str(&object.value).unwrap_or_default();
-            let record = record.at(Generation::new(object.version.get()));
+            let record = record.with_version(Generation::new(object.version.get()));
             (FormingEvent::RecordRead { record }, Some(object.version))
         }
         StoreReply::Missing => (FormingEvent::RecordRead { record: DomainRecord::default() }, None),
--- a/crates/gateway/src/control/relay/peer_client.rs
+++ b/crates/gateway/src/control/relay/peer_client.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use celeryhaven_http::ChannelPool;
+use celeryhaven_http::ConnectionPool;
 use http::header::AUTHORIZATION;
 use http::{HeaderValue, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -21,7 +21,7 @@
 
 /// Polls a relay and reports this node's demand; returns `None` if there is no valid answer.
 pub(crate) async fn poll_relay(
-    channels: &ChannelPool,
+    channels: &ConnectionPool,
     relay: &PeerAddress,
     request: &RelayRequest,
     report: Option<&DemandReport>,
@@ -37,7 +37,7 @@
 
 /// Sends a suspicion to the coordinator, without retries: the listed targets show a loss later.
 pub(crate) async fn send_suspicion(
-    channels: &ChannelPool,
+    channels: &ConnectionPool,
     peer: &PeerAddress,
     suspicion: &Suspicion,
 ) {
@@ -47,7 +47,7 @@
 
 /// Sends a request to a node that may wait up to `wait_ms` before it answers.
 async fn call_peer(
-    channels: &ChannelPool,
+    channels: &ConnectionPool,
     peer: &PeerAddress,
     path: &str,
     body: Bytes,
@@ -68,7 +68,7 @@
             return None;
         }
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        if channel.settle().await {
+        if channel.wait_idle().await {
             channels.put(peer.address, channel, None);
         }
         Some(body)
--- a/crates/gateway/src/control/relay/relay_state.rs
+++ b/crates/gateway/src/control/relay/relay_state.rs
@@ -91,7 +91,7 @@
         report: Option<DemandReport>,
     ) -> Response<AnswerBody> {
         if let Some(DemandReport { node, demand }) = report {
-            self.demand.borrow_mut().reported(BootClock.now(), node, demand);
+            self.demand.borrow_mut().apply_report(BootClock.now(), node, demand);
         }
         let log = self.log(request.kind);
         let answer = smol::future::or(log.answer(&request), async {
@@ -99,7 +99,7 @@
             log.unchanged(&request)
         });
         let answer = answer.await;
-        let demand = self.demand.borrow_mut().fleet(BootClock.now());
+        let demand = self.demand.borrow_mut().fleet_demand(BootClock.now());
         match encode(&RelayReply { answer, demand }) {
             Some(bytes) => Response::new(AnswerBody::whole(bytes)),
             None => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
--- a/crates/gateway/src/control/suspicions.rs
+++ b/crates/gateway/src/control/suspicions.rs
@@ -33,7 +33,7 @@
     fn into_event(self) -> FormingEvent {
         match self {
             Self::Stalled(replica) => FormingEvent::Suspected { replica },
-            Self::LossReported(target) => FormingEvent::Accused { target },
+            Self::LossReported(target) => FormingEvent::LossReported { target },
         }
     }
 }
--- a/crates/gateway/src/control/target_client.rs
+++ b/crates/gateway/src/control/target_client.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use celeryhaven_fleet::{OrderOutcome, TargetOrder};
 use celeryhaven_forming::Reachability;
-use celeryhaven_http::{ChannelError, ChannelPool};
+use celeryhaven_http::{ConnectionError, ConnectionPool};
 use celeryhaven_peers::ProbeResult;
 use celeryhaven_types::VmName;
 use http::header::{CONTENT_TYPE, HOST};
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 pub(crate) struct TargetClient<A> {
     pub(crate) adapter: A,
-    pub(crate) channels: ChannelPool,
+    pub(crate) channels: ConnectionPool,
 }
 
 impl<A: Adapter> TargetClient<A> {
@@ -46,7 +46,7 @@
         self.adapter.expect_target(headers, name);
         match self.exchange(address, request, ORDER_TIMEOUT).await {
             Some(Ok(answer)) => self.adapter.order_outcome(answer.status),
-            Some(Err(ChannelError::Connect { source })) if is_refused(&source) => {
+            Some(Err(ConnectionError::Connect { source })) if is_refused(&source) => {
                 OrderOutcome::Gone
             }
             Some(Err(_)) | None => OrderOutcome::Unanswered,
@@ -59,7 +59,7 @@
         *request.uri_mut() = http::Uri::from_static(self.adapter.paths().report);
         match self.exchange(address, request, PROBE_TIMEOUT).await {
             Some(Ok(_)) => Reachability::Answers,
-            Some(Err(ChannelError::Connect { source })) if is_refused(&source) => {
+            Some(Err(ConnectionError::Connect { source })) if is_refused(&source) => {
                 Reachability::Gone
             }
             Some(Err(_)) | None => Reachability::Silent,
@@ -84,7 +84,7 @@
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Option<Result<Parts, ChannelError>> {
+    ) -> Option<Result<Parts, ConnectionError>> {
         if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
@@ -96,7 +96,7 @@
             let answer = async {
                 let (mut channel, is_new) = self.channels.take(address).await?;
                 match channel.send(request.clone()).await {
-                    Err(ChannelError::Ended) if !is_new => {
+                    Err(ConnectionError::Closed) if !is_new => {
                         channel = self.channels.connect(address).await?;
                         let response = channel.send(request).await?;
                         Ok((channel, response))
@@ -121,13 +121,13 @@
     async fn finish(
         &self,
         address: SocketAddr,
-        mut channel: celeryhaven_http::Channel,
+        mut channel: celeryhaven_http::Connection,
         head: &Parts,
         body: hyper::body::Incoming,
     ) {
         let closes = self.adapter.answer_head(head.status, &head.headers).closes_channel;
         let is_complete = http_body_util::BodyExt::collect(body).await.is_ok();
-        if is_complete && !closes && channel.settle().await {
+        if is_complete && !closes && channel.wait_idle().await {
             self.channels.put(address, channel, None);
         }
     }
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender, unbounded};
-use celeryhaven_http::{ChannelPool, Listener, PoolSettings, ServerLimits, StopSignal};
+use celeryhaven_http::{ConnectionPool, Listener, PoolSettings, ServerLimits, StopSignal};
 use celeryhaven_settings::GatewaySettings;
 use celeryhaven_store::StoreClient;
 use celeryhaven_telemetry::GatewayMetrics;
@@ -23,7 +23,7 @@
 
 /// Limits for callers until a configuration has been read.
 const INITIAL_LIMITS: ServerLimits =
-    ServerLimits { header_bytes_max: 16 * 1024, idle: Duration::from_secs(15) };
+    ServerLimits { header_bytes_max: 16 * 1024, idle_timeout: Duration::from_secs(15) };
 
 /// Connection pool settings for targets.
 ///
@@ -31,8 +31,8 @@
 /// is disconnected after the time that the detection of a stalled replica takes.
 const TARGET_POOL_SETTINGS: PoolSettings = PoolSettings {
     connect_timeout: Duration::from_millis(300),
-    silence: Duration::from_millis(1_500),
-    idle: Duration::from_secs(10),
+    tcp_user_timeout: Duration::from_millis(1_500),
+    idle_timeout: Duration::from_secs(10),
     idle_max: 8,
 };
 
@@ -100,8 +100,8 @@
     let control = move || {
         let executor = Rc::new(LocalExecutor::new());
         let timeout = Duration::from_millis(settings.store_timeout_ms);
-        let client = StoreClient::with_wire(settings.store, timeout, adapter.clone());
-        let channels = ChannelPool::new(executor.clone(), TARGET_POOL_SETTINGS);
+        let client = StoreClient::with_codec(settings.store, timeout, adapter.clone());
+        let channels = ConnectionPool::new(executor.clone(), TARGET_POOL_SETTINGS);
         let target_client = TargetClient { adapter: adapter.clone(), channels };
         let parts = ControlParts {
             adapter,
@@ -136,7 +136,7 @@
     let retry_ratio = settings.retry_ratio * RETRY_SHARE;
     let retry_extra = settings.retry_extra * RETRY_SHARE / RETRY_POOLS;
     let state = GateState::new(seed, retry_ratio, retry_extra);
-    let channels = ChannelPool::new(executor.clone(), TARGET_POOL_SETTINGS);
+    let channels = ConnectionPool::new(executor.clone(), TARGET_POOL_SETTINGS);
     let dispatcher =
         Gate::new(adapter, executor.clone(), channels, state, metrics, log.clone(), reports);
     let stop = StopSignal::default();
@@ -179,7 +179,7 @@
     let callers = bind(settings.caller_listen)?;
     let (ready, lookup) = (bind(settings.ready_listen)?, bind(settings.lookup_listen)?);
     let metrics = bind(settings.metrics_listen)?;
-    let open = callers.open();
+    let open = callers.open_connections();
     let own = dispatcher.clone();
     let serve = callers
         .serve(executor.clone(), stop.clone(), move |request| answer_caller(own.clone(), request));
@@ -215,7 +215,7 @@
             let wanted = routes.config().limits;
             limits.set(ServerLimits {
                 header_bytes_max: wanted.header_bytes_max,
-                idle: Duration::from_millis(wanted.idle_timeout_ms),
+                idle_timeout: Duration::from_millis(wanted.idle_timeout_ms),
             });
         }
     }
