--- a/crates/gateway/src/adapter/messages.rs
+++ b/crates/gateway/src/adapter/messages.rs
@@ -62,10 +62,10 @@
         pub load: Option<ReportedLoad>,
         /// Member of the replica that the target reports as lost.
         pub reported_lost: Option<VmName>,
-        /// How long the target keeps an idle channel open, in seconds, if reported.
+        /// How long the target keeps an idle connection open, in seconds, if reported.
         pub keep_alive_s: Option<u64>,
-        /// Whether the target closes the channel after this answer.
-        pub closes_channel: bool,
+        /// Whether the target closes the connection after this answer.
+        pub closes_connection: bool,
     }
 
     /// Load of a target, as reported in an answer.
--- a/crates/gateway/src/control/control_loop.rs
+++ b/crates/gateway/src/control/control_loop.rs
@@ -175,7 +175,7 @@
             kind,
             wait_ms: self.parts.settings.watch_wait_ms,
             events: self.parts.events.0.clone(),
-            channels: self.parts.target_client.channels.clone(),
+            connections: self.parts.target_client.connections.clone(),
             conditions: self.feed_conditions.clone(),
             relay: self.relay.clone(),
             from: None,
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -98,7 +98,7 @@
 /// new list.
 pub(crate) struct Feed<W> {
     pub(crate) store: CountedStore<W>,
-    pub(crate) channels: ConnectionPool,
+    pub(crate) connections: ConnectionPool,
     pub(crate) node: NodeName,
     pub(crate) prefix: ObjectKey,
     pub(crate) kind: FeedKind,
@@ -155,7 +155,7 @@
         };
         let request = RelayRequest { kind: self.kind, from: self.from, wait_ms, wait_for };
         let report = self.demand_report();
-        let reply = poll_relay(&self.channels, relay, &request, report.as_ref()).await;
+        let reply = poll_relay(&self.connections, relay, &request, report.as_ref()).await;
         let answer = reply.map(|reply| {
             self.relay.demand.borrow_mut().apply_fleet_demand(BootClock.now(), reply.demand);
             reply.answer
--- a/crates/gateway/src/control/relay/peer_client.rs
+++ b/crates/gateway/src/control/relay/peer_client.rs
@@ -21,7 +21,7 @@
 
 /// Polls a relay and reports this node's demand; returns `None` if there is no valid answer.
 pub(crate) async fn poll_relay(
-    channels: &ConnectionPool,
+    connections: &ConnectionPool,
     relay: &PeerAddress,
     request: &RelayRequest,
     report: Option<&DemandReport>,
@@ -31,23 +31,23 @@
         Some(report) => encode(report)?,
         None => Vec::new(),
     };
-    let reply = call_peer(channels, relay, &path, body.into(), request.wait_ms).await?;
+    let reply = call_peer(connections, relay, &path, body.into(), request.wait_ms).await?;
     decode(&reply)
 }
 
 /// Sends a suspicion to the coordinator, without retries: the listed targets show a loss later.
 pub(crate) async fn send_suspicion(
-    channels: &ConnectionPool,
+    connections: &ConnectionPool,
     peer: &PeerAddress,
     suspicion: &Suspicion,
 ) {
     let Some(body) = encode(suspicion) else { return };
-    call_peer(channels, peer, SUSPICION_PATH, body.into(), 0).await.unwrap_or_default();
+    call_peer(connections, peer, SUSPICION_PATH, body.into(), 0).await.unwrap_or_default();
 }
 
 /// Sends a request to a node that may wait up to `wait_ms` before it answers.
 async fn call_peer(
-    channels: &ConnectionPool,
+    connections: &ConnectionPool,
     peer: &PeerAddress,
     path: &str,
     body: Bytes,
@@ -62,14 +62,14 @@
         None
     };
     let exchange = async {
-        let (mut channel, _) = channels.take(peer.address).await.ok()?;
-        let response = channel.send(request).await.ok()?;
+        let (mut connection, _) = connections.take(peer.address).await.ok()?;
+        let response = connection.send(request).await.ok()?;
         if response.status() != StatusCode::OK {
             return None;
         }
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        if channel.wait_idle().await {
-            channels.put(peer.address, channel, None);
+        if connection.wait_idle().await {
+            connections.put(peer.address, connection, None);
         }
         Some(body)
     };
--- a/crates/gateway/src/control/suspicions.rs
+++ b/crates/gateway/src/control/suspicions.rs
@@ -70,8 +70,8 @@
             return;
         };
         let peer = PeerAddress { address: record.peer_address, token: record.token };
-        let channels = self.parts.target_client.channels.clone();
-        let send = async move { send_suspicion(&channels, &peer, &suspicion).await };
+        let connections = self.parts.target_client.connections.clone();
+        let send = async move { send_suspicion(&connections, &peer, &suspicion).await };
         self.executor.spawn(send).detach();
     }
 
--- a/crates/gateway/src/control/target_client.rs
+++ b/crates/gateway/src/control/target_client.rs
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 pub(crate) struct TargetClient<A> {
     pub(crate) adapter: A,
-    pub(crate) channels: ConnectionPool,
+    pub(crate) connections: ConnectionPool,
 }
 
 impl<A: Adapter> TargetClient<A> {
@@ -94,21 +94,21 @@
         };
         let exchange = async {
             let answer = async {
-                let (mut channel, is_new) = self.channels.take(address).await?;
-                match channel.send(request.clone()).await {
+                let (mut connection, is_new) = self.connections.take(address).await?;
+                match connection.send(request.clone()).await {
                     Err(ConnectionError::Closed) if !is_new => {
-                        channel = self.channels.connect(address).await?;
-                        let response = channel.send(request).await?;
-                        Ok((channel, response))
+                        connection = self.connections.connect(address).await?;
+                        let response = connection.send(request).await?;
+                        Ok((connection, response))
                     }
                     Err(error) => Err(error),
-                    Ok(response) => Ok((channel, response)),
+                    Ok(response) => Ok((connection, response)),
                 }
             };
             Some(match answer.await {
-                Ok((channel, response)) => {
+                Ok((connection, response)) => {
                     let (parts, body) = response.into_parts();
-                    self.finish(address, channel, &parts, body).await;
+                    self.finish(address, connection, &parts, body).await;
                     Ok(parts)
                 }
                 Err(error) => Err(error),
@@ -117,18 +117,18 @@
         smol::future::or(exchange, late).await
     }
 
-    /// Reads the rest of the answer and returns the channel to the pool.
+    /// Reads the rest of the answer and returns the connection to the pool.
     async fn finish(
         &self,
         address: SocketAddr,
-        mut channel: celeryhaven_http::Connection,
+        mut connection: celeryhaven_http::Connection,
         head: &Parts,
         body: hyper::body::Incoming,
     ) {
-        let closes = self.adapter.answer_head(head.status, &head.headers).closes_channel;
+        let closes = self.adapter.answer_head(head.status, &head.headers).closes_connection;
         let is_complete = http_body_util::BodyExt::collect(body).await.is_ok();
-        if is_complete && !closes && channel.wait_idle().await {
-            self.channels.put(address, channel, None);
+        if is_complete && !closes && connection.wait_idle().await {
+            self.connections.put(address, connection, None);
         }
     }
 }
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -101,8 +101,8 @@
         let executor = Rc::new(LocalExecutor::new());
         let timeout = Duration::from_millis(settings.store_timeout_ms);
         let client = StoreClient::with_codec(settings.store, timeout, adapter.clone());
-        let channels = ConnectionPool::new(executor.clone(), TARGET_POOL_SETTINGS);
-        let target_client = TargetClient { adapter: adapter.clone(), channels };
+        let connections = ConnectionPool::new(executor.clone(), TARGET_POOL_SETTINGS);
+        let target_client = TargetClient { adapter: adapter.clone(), connections };
         let parts = ControlParts {
             adapter,
             settings,
@@ -136,9 +136,9 @@
     let retry_ratio = settings.retry_ratio * RETRY_SHARE;
     let retry_extra = settings.retry_extra * RETRY_SHARE / RETRY_POOLS;
     let state = GateState::new(seed, retry_ratio, retry_extra);
-    let channels = ConnectionPool::new(executor.clone(), TARGET_POOL_SETTINGS);
+    let connections = ConnectionPool::new(executor.clone(), TARGET_POOL_SETTINGS);
     let dispatcher =
-        Gate::new(adapter, executor.clone(), channels, state, metrics, log.clone(), reports);
+        Gate::new(adapter, executor.clone(), connections, state, metrics, log.clone(), reports);
     let stop = StopSignal::default();
     let limits = Rc::new(Cell::new(INITIAL_LIMITS));
     let open = listen(&settings, &dispatcher, &stop, &limits)?;
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -39,7 +39,7 @@
             true => self.relay_events(parts, body).await,
             false => self.relay_plain(parts, body).await,
         };
-        if end == AttemptEnd::Answered && !head.closes_channel {
+        if end == AttemptEnd::Answered && !head.closes_connection {
             self.keep_channel(channel, &head).await;
         }
         end
