--- a/crates/fleet/tests/relay.rs
+++ b/crates/fleet/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A relay's log tells each node exactly what it lacks.
+//! A relay's change log gives each follower exactly the changes it lacks.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -19,15 +19,15 @@
     }
 }
 
-/// A log that has just heard a list without objects from the store.
-fn listed(version: u64) -> ChangeLog {
+/// A log with an empty list and a recent contact with the store.
+fn log_with_empty_list(version: u64) -> ChangeLog {
     let mut log = ChangeLog::new();
-    log.listed(ObjectVersion::new(version), &[]);
-    log.contacted(NOW, StoreContact::direct(false));
+    log.apply_list(ObjectVersion::new(version), &[]);
+    log.record_contact(NOW, StoreContact::direct(false));
     log
 }
 
-/// A node that follows relays, and what it believes.
+/// A follower of relays, and its copy of the objects.
 #[derive(Default)]
 struct Follower {
     from: Option<ObjectVersion>,
@@ -35,7 +35,7 @@
 }
 
 impl Follower {
-    fn take(&mut self, answer: RelayAnswer) {
+    fn apply(&mut self, answer: RelayAnswer) {
         match answer {
             RelayAnswer::Stale => {}
             RelayAnswer::Listed { version, objects, .. } => {
@@ -56,13 +56,14 @@
     }
 }
 
-/// Two relays hear the same changes in other portions, and a follower goes from one to the other at
-/// random. Whenever it has caught up, it holds what the store holds: nothing missed, nothing old.
+/// Guards against missed or outdated objects when a follower switches between relays that receive
+/// the same changes in different batches.
 #[test]
 fn relay_followers_agree_with_store() {
     for seed in 0..200 {
         let mut random = Gen::from_size_and_seed(20, seed);
-        let (mut logs, mut pending) = ([listed(1), listed(1)], [vec![], vec![]]);
+        let (mut logs, mut pending) =
+            ([log_with_empty_list(1), log_with_empty_list(1)], [vec![], vec![]]);
         let mut at = [ObjectVersion::new(1); 2];
         let mut store: BTreeMap<ObjectKey, String> = BTreeMap::new();
         let mut follower = Follower::default();
@@ -78,132 +79,132 @@
                 pending.push(change.clone());
                 if bool::arbitrary(&mut random) {
                     let from = std::mem::replace(at, ObjectVersion::new(version));
-                    log.changed(from, ObjectVersion::new(version), &std::mem::take(pending));
+                    log.apply_changes(from, ObjectVersion::new(version), &std::mem::take(pending));
                 }
             }
             if u8::arbitrary(&mut random) < 40 {
                 let log = &logs[usize::arbitrary(&mut random) % 2];
-                if let Some(answer) = log.since(NOW, follower.from) {
-                    follower.take(answer);
+                if let Some(answer) = log.changes_since(NOW, follower.from) {
+                    follower.apply(answer);
                 }
             }
         }
         for ((log, pending), at) in logs.iter_mut().zip(&mut pending).zip(at) {
-            log.changed(at, ObjectVersion::new(1_199), &std::mem::take(pending));
+            log.apply_changes(at, ObjectVersion::new(1_199), &std::mem::take(pending));
         }
-        if let Some(answer) = logs[0].since(NOW, follower.from) {
-            follower.take(answer);
+        if let Some(answer) = logs[0].changes_since(NOW, follower.from) {
+            follower.apply(answer);
         }
         assert_eq!(follower.objects, store, "seed {seed}");
     }
 }
 
-/// A relay is cut off from the store. It must not hold its followers, who may reach the store.
+/// Guards against a relay that is cut off from the store and still confirms the state of its
+/// followers.
 #[test]
-fn relay_cut_off_vouches_for_nothing() {
-    let log = listed(5);
+fn relay_cut_off_answers_stale() {
+    let log = log_with_empty_list(5);
     let later = NOW.after(4_000);
-    assert_eq!(log.since(later, Some(ObjectVersion::new(5))), Some(RelayAnswer::Stale));
-    assert_eq!(log.nothing_new(later, ObjectVersion::new(5)), RelayAnswer::Stale);
+    assert_eq!(log.changes_since(later, Some(ObjectVersion::new(5))), Some(RelayAnswer::Stale));
+    assert_eq!(log.empty_answer(later, ObjectVersion::new(5)), RelayAnswer::Stale);
 }
 
-/// A follower was at a relay that is ahead of this one. It keeps its place and gets nothing twice.
+/// Guards against repeated changes for a follower that is ahead of the relay.
 #[test]
-fn relay_behind_its_follower() {
-    let mut log = listed(5);
-    log.changed(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, Some("1"))]);
+fn relay_behind_follower() {
+    let mut log = log_with_empty_list(5);
+    log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, Some("1"))]);
     let ahead = ObjectVersion::new(9);
-    assert_eq!(log.since(NOW, Some(ahead)), None);
-    let RelayAnswer::Changes { version, changes, .. } = log.nothing_new(NOW, ahead) else {
+    assert_eq!(log.changes_since(NOW, Some(ahead)), None);
+    let RelayAnswer::Changes { version, changes, .. } = log.empty_answer(NOW, ahead) else {
         panic!()
     };
     assert_eq!((version, changes.len()), (ahead, 0));
 }
 
-/// The store was away and entries lapsed meanwhile. A follower that heard of no outage must learn of
-/// it with the removals, or it drops targets that are back two seconds later.
+/// Guards against followers that remove entries which lapsed during a store outage that they did
+/// not observe.
 #[test]
-fn relay_tells_of_outage() {
-    let mut log = listed(5);
-    log.contacted(NOW, StoreContact::direct(true));
-    log.changed(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, None)]);
-    let told = |log: &ChangeLog, at| match log.since(at, Some(ObjectVersion::new(5))).unwrap() {
-        RelayAnswer::Changes { store, .. } => store.returned_ms_ago,
-        _ => panic!("not the changes"),
-    };
-    assert_eq!(told(&log, NOW.after(1_000)), Some(1_000));
+fn relay_reports_outage() {
+    let mut log = log_with_empty_list(5);
+    log.record_contact(NOW, StoreContact::direct(true));
+    log.apply_changes(ObjectVersion::new(5), ObjectVersion::new(6), &[change("a", 6, None)]);
+    let reported =
+        |log: &ChangeLog, at| match log.changes_since(at, Some(ObjectVersion::new(5))).unwrap() {
+            RelayAnswer::Changes { store, .. } => store.returned_ms_ago,
+            _ => panic!("not the changes"),
+        };
+    assert_eq!(reported(&log, NOW.after(1_000)), Some(1_000));
     let later = NOW.after(3_000);
-    log.contacted(later, StoreContact::direct(false));
-    assert_eq!(told(&log, later), None);
+    log.record_contact(later, StoreContact::direct(false));
+    assert_eq!(reported(&log, later), None);
 }
 
-/// A relay follows another one, which is cut off from the store. Were each to vouch for a time of its
-/// own, a node at the end of the chain would hold a revoked key for the sum of them: what the last
-/// one vouches for ends when the first one's does.
+/// Guards against a chain of relays that confirms its state for longer than its first relay does.
 #[test]
-fn relay_chain_vouches_no_longer() {
-    let first = listed(5);
+fn relay_chain_adds_contact_ages() {
+    let first = log_with_empty_list(5);
     let mut second = ChangeLog::new();
     let version = ObjectVersion::new(5);
     let asked_at = NOW.after(1_000);
-    let RelayAnswer::Listed { objects, store, .. } = first.since(asked_at, None).unwrap() else {
+    let RelayAnswer::Listed { objects, store, .. } = first.changes_since(asked_at, None).unwrap()
+    else {
         panic!("not the list")
     };
-    second.listed(version, &objects);
-    second.contacted(asked_at, store);
-    assert_eq!(second.since(NOW.after(1_400), Some(version)), None);
-    assert_eq!(second.since(NOW.after(1_600), Some(version)), Some(RelayAnswer::Stale));
+    second.apply_list(version, &objects);
+    second.record_contact(asked_at, store);
+    assert_eq!(second.changes_since(NOW.after(1_400), Some(version)), None);
+    assert_eq!(second.changes_since(NOW.after(1_600), Some(version)), Some(RelayAnswer::Stale));
 }
 
-/// The store comes back and a chain of relays tells so. Entries that lapsed are kept for a while
-/// after its return, and not for that while after each hop, or requests go to targets that are gone.
+/// Guards against an age of the store's return that restarts at each relay of a chain.
 #[test]
-fn relay_chain_tells_when_store_returned() {
-    let mut first = listed(5);
-    first.contacted(NOW, StoreContact::direct(true));
+fn relay_chain_reports_store_return() {
+    let mut first = log_with_empty_list(5);
+    first.record_contact(NOW, StoreContact::direct(true));
     let mut second = ChangeLog::new();
     let RelayAnswer::Changes { store, .. } =
-        first.nothing_new(NOW.after(1_200), ObjectVersion::new(5))
+        first.empty_answer(NOW.after(1_200), ObjectVersion::new(5))
     else {
         panic!("not the changes")
     };
-    second.listed(ObjectVersion::new(5), &[]);
-    second.contacted(NOW.after(1_200), store);
-    let told = second.nothing_new(NOW.after(1_400), ObjectVersion::new(5));
-    let RelayAnswer::Changes { store, .. } = told else { panic!("not the changes") };
+    second.apply_list(ObjectVersion::new(5), &[]);
+    second.record_contact(NOW.after(1_200), store);
+    let reported = second.empty_answer(NOW.after(1_400), ObjectVersion::new(5));
+    let RelayAnswer::Changes { store, .. } = reported else { panic!("not the changes") };
     assert_eq!(store.returned_ms_ago, Some(1_400));
 }
 
-/// A node has followed a relay and becomes one itself. It has heard of versions up to 8 and kept none of
-/// them. Who is at version 6 must not be told that only what came after 8 has changed, and who needs
-/// the whole list must not get what this node listed long ago.
+/// Guards against missed changes and outdated lists after a node has skipped versions, as it does
+/// when it follows a relay before it becomes one.
 #[test]
-fn changed_after_a_gap() {
-    let mut log = listed(5);
+fn apply_changes_after_gap() {
+    let mut log = log_with_empty_list(5);
     let (from, version) = (ObjectVersion::new(8), ObjectVersion::new(9));
-    log.changed(from, version, &[change("a", 9, Some("1"))]);
-    log.contacted(NOW, StoreContact::direct(false));
+    log.apply_changes(from, version, &[change("a", 9, Some("1"))]);
+    log.record_contact(NOW, StoreContact::direct(false));
     assert!(log.lacks_list());
-    assert_eq!(log.since(NOW, Some(ObjectVersion::new(6))), Some(RelayAnswer::Stale));
-    assert_eq!(log.since(NOW, None), Some(RelayAnswer::Stale));
-    let Some(RelayAnswer::Changes { changes, .. }) = log.since(NOW, Some(from)) else {
+    assert_eq!(log.changes_since(NOW, Some(ObjectVersion::new(6))), Some(RelayAnswer::Stale));
+    assert_eq!(log.changes_since(NOW, None), Some(RelayAnswer::Stale));
+    let Some(RelayAnswer::Changes { changes, .. }) = log.changes_since(NOW, Some(from)) else {
         panic!("not the changes")
     };
     assert_eq!(changes.len(), 1);
-    log.listed(ObjectVersion::new(9), &[]);
+    log.apply_list(ObjectVersion::new(9), &[]);
     assert!(!log.lacks_list());
-    assert!(matches!(log.since(NOW, None), Some(RelayAnswer::Listed { .. })));
+    assert!(matches!(log.changes_since(NOW, None), Some(RelayAnswer::Listed { .. })));
 }
 
-/// Guards against followers that get every step of a target that has changed many times.
+/// Guards against followers that receive every intermediate state of an object.
 #[test]
-fn since_last_change_of_each() {
-    let mut log = listed(10);
+fn changes_since_last_of_each_object() {
+    let mut log = log_with_empty_list(10);
     let changes: Vec<_> = (11..61)
         .map(|version| change(if version % 2 == 0 { "a" } else { "b" }, version, Some("{}")))
         .collect();
-    log.changed(ObjectVersion::new(10), ObjectVersion::new(60), &changes);
-    let Some(RelayAnswer::Changes { changes, .. }) = log.since(NOW, Some(ObjectVersion::new(10)))
+    log.apply_changes(ObjectVersion::new(10), ObjectVersion::new(60), &changes);
+    let Some(RelayAnswer::Changes { changes, .. }) =
+        log.changes_since(NOW, Some(ObjectVersion::new(10)))
     else {
         panic!("no changes")
     };
@@ -211,13 +212,13 @@
     assert_eq!(versions, [59, 60]);
 }
 
-/// Guards against whole lists for every follower while many targets change.
+/// Guards against complete lists for all followers while many objects change.
 #[test]
-fn since_many_objects_changed() {
-    let mut log = listed(10);
+fn changes_since_many_objects() {
+    let mut log = log_with_empty_list(10);
     let changes: Vec<_> =
         (0..2_000).map(|number| change(&format!("vm-{number}"), 11 + number, Some("{}"))).collect();
-    log.changed(ObjectVersion::new(10), ObjectVersion::new(2_010), &changes);
-    let answer = log.since(NOW, Some(ObjectVersion::new(10)));
+    log.apply_changes(ObjectVersion::new(10), ObjectVersion::new(2_010), &changes);
+    let answer = log.changes_since(NOW, Some(ObjectVersion::new(10)));
     assert!(matches!(answer, Some(RelayAnswer::Changes { changes, .. }) if changes.len() == 2_000));
 }
--- a/crates/forming/src/domain/dissolving.rs
+++ b/crates/forming/src/domain/dissolving.rs
@@ -44,7 +44,7 @@
     ) {
         match outcome {
             // A refusal means that the target is no longer in this replica.
-            OrderOutcome::Accepted | OrderOutcome::Refused | OrderOutcome::Gone => {
+            OrderOutcome::Accepted | OrderOutcome::Refused | OrderOutcome::TargetRemoved => {
                 self.left.insert((member.clone(), key.clone()));
             }
             OrderOutcome::Unanswered => {}
--- a/crates/gateway/src/control/actions.rs
+++ b/crates/gateway/src/control/actions.rs
@@ -58,13 +58,13 @@
     }
 
     fn send_order(&self, domain: DomainName, id: OrderId, target: VmName, order: TargetOrder) {
-        let address = self.fleet.known(&target).map(|entry| entry.address);
+        let address = self.fleet.target_or_removed(&target).map(|entry| entry.address);
         let (client, events) = (self.parts.target_client.clone(), self.parts.events.0.clone());
         let (orders, log) = (self.parts.metrics.orders.clone(), self.parts.log.clone());
         let send = async move {
             let outcome = match address {
                 Some(address) => client.send_order(&target, address, &order).await,
-                None => OrderOutcome::Gone,
+                None => OrderOutcome::TargetRemoved,
             };
             let label = OutcomeLabel { call: order.as_str(), outcome: outcome.as_str() };
             orders.get_or_create(&label).inc();
@@ -79,7 +79,7 @@
     }
 
     fn send_probe(&self, domain: DomainName, target: VmName) {
-        let address = self.fleet.known(&target).map(|entry| entry.address);
+        let address = self.fleet.target_or_removed(&target).map(|entry| entry.address);
         let (client, events) = (self.parts.target_client.clone(), self.parts.events.0.clone());
         let log = self.parts.log.clone();
         let probe = async move {
@@ -102,7 +102,7 @@
     reply: &StoreReply,
     (event, version): (FormingEvent, Option<ObjectVersion>),
 ) {
-    if !reply.is_served() {
+    if !reply.is_processed() {
         events.send(ControlEvent::StoreCallFailed).await.unwrap_or_default();
     }
     let version = ControlEvent::RecordVersion(domain.clone(), version);
--- a/crates/gateway/src/control/control_loop.rs
+++ b/crates/gateway/src/control/control_loop.rs
@@ -30,7 +30,7 @@
 use crate::control::relay::{RelayState, answer_peer_request};
 use crate::control::suspicions::{RecentSuspicions, Suspicion};
 use crate::control::target_client::TargetClient;
-use crate::traffic::{OfferedWork, Routable, TrafficReport, TrafficUpdate};
+use crate::traffic::{Destination, OfferedLoad, TrafficReport, TrafficUpdate};
 
 /// Interval between two evaluations of the coordinators.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
@@ -69,7 +69,7 @@
     pub(super) fleet: FleetView,
     pub(super) targets_listed: bool,
     /// All destinations of requests.
-    pub(super) destinations: Arc<[Routable]>,
+    pub(super) destinations: Arc<[Destination]>,
     /// Last update sent to traffic.
     pub(super) published: Option<TrafficUpdate>,
     pub(super) peers: Peers,
@@ -242,7 +242,7 @@
     }
 
     /// Records the load that callers have offered to this node.
-    fn record_offered_load(&mut self, now: TimeMs, loads: &[OfferedWork]) {
+    fn record_offered_load(&mut self, now: TimeMs, loads: &[OfferedLoad]) {
         loads.iter().for_each(|load| self.demand.add(now, &load.model, load.slot_ms));
     }
 
@@ -274,7 +274,7 @@
             TrafficReport::Suspected(replica) => {
                 self.handle_suspicion(now, Suspicion::Stalled(replica));
             }
-            TrafficReport::Accused(target) => {
+            TrafficReport::LossReported(target) => {
                 self.handle_suspicion(now, Suspicion::LossReported(target));
             }
             TrafficReport::Offered(loads) => self.record_offered_load(now, &loads),
--- a/crates/gateway/src/control/coordination.rs
+++ b/crates/gateway/src/control/coordination.rs
@@ -57,7 +57,7 @@
         let coordinated: BTreeSet<DomainName> = coordinated.map(|&domain| domain.clone()).collect();
         let settings = FormingSettings::default().with_load_limits(
             profile.loads_per_s,
-            profile.loads_at_once,
+            profile.concurrent_loads,
             all.len(),
         );
         if self.coordinators.set_domains(now, &self.parts.settings.node, &coordinated, settings) {
@@ -176,7 +176,7 @@
     domains: &'a [ListedDomain<'a>],
     (traffic_seen, store_available): (bool, bool),
 ) -> FormingView<'a> {
-    let (replicas, recently_listed) = (fleet.replicas(), fleet.shown());
+    let (replicas, recently_listed) = (fleet.replicas(), fleet.reported_replicas());
     FormingView {
         fleet,
         replicas,
--- a/crates/gateway/src/control/feed_updates.rs
+++ b/crates/gateway/src/control/feed_updates.rs
@@ -30,7 +30,7 @@
         match update {
             FeedUpdate::Failed => Changes::NONE,
             FeedUpdate::Listed { objects, store } => {
-                self.grant_grace(now, store);
+                self.keep_lapsed_entries(now, store);
                 match kind {
                     FeedKind::Configuration => {
                         let key = self.parts.adapter.configuration_key();
@@ -49,7 +49,7 @@
                 }
             }
             FeedUpdate::Changed { changes, store } => {
-                self.grant_grace(now, store);
+                self.keep_lapsed_entries(now, store);
                 let changed = changes.iter().fold(false, |changed, change| {
                     changed | self.apply_change(now, kind, &change.key, change.value.as_deref())
                 });
@@ -82,9 +82,9 @@
     }
 
     /// Keeps entries that expired during a store outage until their targets can renew them.
-    pub(super) fn grant_grace(&mut self, now: TimeMs, store: StoreContact) {
+    pub(super) fn keep_lapsed_entries(&mut self, now: TimeMs, store: StoreContact) {
         if let Some(ago_ms) = store.returned_ms_ago {
-            self.fleet.grant_grace(now.before(ago_ms).after(OUTAGE_GRACE_MS));
+            self.fleet.keep_lapsed_until(now.before(ago_ms).after(OUTAGE_GRACE_MS));
         }
     }
 
--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -120,7 +120,7 @@
             }
             // The write is repeated with the same version; if it did take effect, the repetition
             // conflicts.
-            reply if !reply.is_served() => {
+            reply if !reply.is_processed() => {
                 self.notify(ControlEvent::StoreCallFailed).await;
                 self.version
             }
@@ -149,7 +149,7 @@
                 let read = |object: &Object| serde_json::from_str::<NodeRecord>(&object.value).ok();
                 self.notify(ControlEvent::Nodes(objects.iter().filter_map(read).collect())).await;
             }
-            reply if !reply.is_served() => self.notify(ControlEvent::StoreCallFailed).await,
+            reply if !reply.is_processed() => self.notify(ControlEvent::StoreCallFailed).await,
             _ => {}
         }
     }
--- a/crates/gateway/src/control/relay/relay_log.rs
+++ b/crates/gateway/src/control/relay/relay_log.rs
@@ -34,7 +34,7 @@
                 return RelayAnswer::Stale;
             }
             let new = match self.has_contact() {
-                true => self.log.borrow().since(BootClock.now(), request.from),
+                true => self.log.borrow().changes_since(BootClock.now(), request.from),
                 // A relay that has just started receives its first update shortly.
                 false => None,
             };
@@ -55,6 +55,6 @@
     /// Returns an answer without changes.
     pub(super) fn unchanged(&self, request: &RelayRequest) -> RelayAnswer {
         let from = request.from.unwrap_or_default();
-        self.log.borrow().nothing_new(BootClock.now(), from)
+        self.log.borrow().empty_answer(BootClock.now(), from)
     }
 }
--- a/crates/gateway/src/control/relay/relay_state.rs
+++ b/crates/gateway/src/control/relay/relay_state.rs
@@ -59,16 +59,16 @@
         let mut change_log = log.log.borrow_mut();
         let store = match update {
             FeedUpdate::Listed { objects, store } => {
-                change_log.listed(version, objects);
+                change_log.apply_list(version, objects);
                 *store
             }
             FeedUpdate::Changed { changes, store } => {
-                change_log.changed(from.unwrap_or_default(), version, changes);
+                change_log.apply_changes(from.unwrap_or_default(), version, changes);
                 *store
             }
             FeedUpdate::Failed => return,
         };
-        change_log.contacted(BootClock.now(), store);
+        change_log.record_contact(BootClock.now(), store);
         drop(change_log);
         log.is_from_store.set(source == Source::Store);
         log.wake();
@@ -81,7 +81,7 @@
 
     /// Marks the log as stale, because no node follows this one.
     pub(crate) fn invalidate(&self, kind: FeedKind) {
-        self.log(kind).log.borrow_mut().silence();
+        self.log(kind).log.borrow_mut().clear_contact();
     }
 
     /// Answers a relay request and records the demand that it reports.
@@ -101,7 +101,7 @@
         let answer = answer.await;
         let demand = self.demand.borrow_mut().fleet_demand(BootClock.now());
         match encode(&RelayReply { answer, demand }) {
-            Some(bytes) => Response::new(AnswerBody::whole(bytes)),
+            Some(bytes) => Response::new(AnswerBody::full(bytes)),
             None => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
--- a/crates/gateway/src/control/target_client.rs
+++ b/crates/gateway/src/control/target_client.rs
@@ -14,7 +14,7 @@
 use smol::Timer;
 
 use crate::adapter::Adapter;
-use crate::http::CUT_OFF;
+use crate::http::CUT_OFF_HEADER;
 
 /// Timeout of an order. Orders can be repeated safely.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
@@ -47,7 +47,7 @@
         match self.exchange(address, request, ORDER_TIMEOUT).await {
             Some(Ok(answer)) => self.adapter.order_outcome(answer.status),
             Some(Err(ConnectionError::Connect { source })) if is_refused(&source) => {
-                OrderOutcome::Gone
+                OrderOutcome::TargetRemoved
             }
             Some(Err(_)) | None => OrderOutcome::Unanswered,
         }
@@ -72,7 +72,7 @@
         *request.uri_mut() = http::Uri::from_static(self.adapter.paths().ready);
         match self.exchange(address, request, PROBE_TIMEOUT).await {
             Some(Ok(answer)) if answer.status != StatusCode::OK => ProbeResult::NotReady,
-            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF) => ProbeResult::CutOff,
+            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF_HEADER) => ProbeResult::CutOff,
             Some(Ok(_)) => ProbeResult::Ready,
             Some(Err(_)) | None => ProbeResult::Unanswered,
         }
--- a/crates/gateway/src/process/gateway_process.rs
+++ b/crates/gateway/src/process/gateway_process.rs
@@ -19,7 +19,7 @@
 use crate::process::ProcessError;
 use crate::process::error::{ListenSnafu, RandomSnafu, ThreadSnafu};
 use crate::process::signals::Signals;
-use crate::traffic::{Gate, GateState, TrafficReport, TrafficUpdate};
+use crate::traffic::{DispatchState, Dispatcher, TrafficReport, TrafficUpdate};
 
 /// Limits for callers until a configuration has been read.
 const INITIAL_LIMITS: ServerLimits =
@@ -135,15 +135,22 @@
     let (reports, report_receiver) = unbounded();
     let retry_ratio = settings.retry_ratio * RETRY_SHARE;
     let retry_extra = settings.retry_extra * RETRY_SHARE / RETRY_POOLS;
-    let state = GateState::new(seed, retry_ratio, retry_extra);
+    let state = DispatchState::new(seed, retry_ratio, retry_extra);
     let connections = ConnectionPool::new(executor.clone(), TARGET_POOL_SETTINGS);
-    let dispatcher =
-        Gate::new(adapter, executor.clone(), connections, state, metrics, log.clone(), reports);
+    let dispatcher = Dispatcher::new(
+        adapter,
+        executor.clone(),
+        connections,
+        state,
+        metrics,
+        log.clone(),
+        reports,
+    );
     let stop = StopSignal::default();
     let limits = Rc::new(Cell::new(INITIAL_LIMITS));
     let open = listen(&settings, &dispatcher, &stop, &limits)?;
-    executor.spawn(dispatcher.clone().follow(updates)).detach();
-    executor.spawn(dispatcher.clone().tick()).detach();
+    executor.spawn(dispatcher.clone().apply_updates(updates)).detach();
+    executor.spawn(dispatcher.clone().run_timers()).detach();
     executor.spawn(forward_reports(report_receiver, events.clone())).detach();
     executor.spawn(update_limits(dispatcher.clone(), limits)).detach();
     signals.wait_for_stop(|| reload(settings_file, &settings, &log)).await;
@@ -156,7 +163,10 @@
 
 /// Keeps serving while callers use cached address answers, then closes all connections.
 async fn shut_down(settings: &GatewaySettings, stop: &StopSignal, open: &Cell<usize>) {
-    Timer::after(settings.stop().saturating_sub(Duration::from_millis(CLOSE_BEFORE_KILL_MS))).await;
+    Timer::after(
+        settings.stop_timeout().saturating_sub(Duration::from_millis(CLOSE_BEFORE_KILL_MS)),
+    )
+    .await;
     stop.stop();
     let deadline =
         Instant::now() + Duration::from_millis(CLOSE_BEFORE_KILL_MS - EXIT_BEFORE_KILL_MS);
@@ -168,7 +178,7 @@
 /// Opens the four listeners; returns the number of open caller connections.
 fn listen<A: Adapter>(
     settings: &GatewaySettings,
-    dispatcher: &Rc<Gate<A>>,
+    dispatcher: &Rc<Dispatcher<A>>,
     stop: &StopSignal,
     limits: &Rc<Cell<ServerLimits>>,
 ) -> Result<Rc<Cell<usize>>, ProcessError> {
@@ -207,7 +217,7 @@
 }
 
 /// Applies the limits of the configuration in force to new connections.
-async fn update_limits<A: Adapter>(dispatcher: Rc<Gate<A>>, limits: Rc<Cell<ServerLimits>>) {
+async fn update_limits<A: Adapter>(dispatcher: Rc<Dispatcher<A>>, limits: Rc<Cell<ServerLimits>>) {
     loop {
         Timer::after(Duration::from_millis(500)).await;
         let state = dispatcher.state.borrow();
--- a/crates/policy/src/standstill/mod.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! Replicas whose streams stand still together.
-
-mod watch;
-
-pub use watch::StandstillWatch;
--- a/crates/types/src/store/mod.rs
+++ b/crates/types/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's Object API and their answers, as data.
+//! Calls to the platform's Object API, and their replies.
 
 mod object;
 mod reply;
@@ -6,4 +6,4 @@
 
 pub use object::{Object, ObjectChange, ObjectKey, ObjectVersion};
 pub use reply::StoreReply;
-pub use request::{StoreCall, StoreRequest};
+pub use request::{StoreCallId, StoreRequest};
