--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use slog::info;
 
-use crate::adapter::{Adapter, AnswerHead, Sending};
+use crate::adapter::{Adapter, AnswerHead, TargetRequestHead};
 use crate::traffic::exchange::{Exchange, Interrupt};
 use crate::traffic::{Destination, TrafficReport};
 
@@ -120,7 +120,7 @@
     fn build_request(&self) -> Request<Full<Bytes>> {
         let caller_request = &self.exchange.request;
         let left_ms = self.exchange.time_left().as_millis() as u64;
-        let sending = Sending {
+        let request_head = TargetRequestHead {
             budget_ms: left_ms.saturating_sub(ANSWER_TRANSIT_MS).max(1),
             expected: &self.destination.target,
             organisation: caller_request.organisation.as_ref(),
@@ -128,7 +128,7 @@
             last_event_id: self.exchange.splitter.last_id(),
         };
         let mut headers = caller_request.headers.clone();
-        self.exchange.dispatcher.adapter.prepare(&mut headers, &sending);
+        self.exchange.dispatcher.adapter.prepare_headers(&mut headers, &request_head);
         let mut request = Request::new(Full::new(caller_request.body.clone()));
         *request.method_mut() = caller_request.method.clone();
         *request.uri_mut() = caller_request.uri.clone();
@@ -149,7 +149,7 @@
     /// Handles an answer that says that the target has not run the request.
     fn refused(&self, response: &Response<Incoming>, head: &AnswerHead) -> AttemptOutcome {
         self.log_end("refused by target", response.status().as_u16());
-        if let Some(lost) = &head.accused {
+        if let Some(lost) = &head.reported_lost {
             let dispatcher = &self.exchange.dispatcher;
             dispatcher.notify_control(TrafficReport::LossReported(lost.clone()));
             dispatcher.avoid_replica(&self.destination.name);
@@ -179,7 +179,7 @@
 
     /// Returns how long the connection may stay idle, one second less than the target allows.
     pub(crate) fn idle_timeout(head: &AnswerHead) -> Option<Duration> {
-        head.keep_s.map(|keep_s| Duration::from_secs(keep_s.saturating_sub(1)))
+        head.keep_alive_s.map(|keep_alive_s| Duration::from_secs(keep_alive_s.saturating_sub(1)))
     }
 }
 
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -40,7 +40,7 @@
                 true => self.forward_events(parts, body).await,
                 false => self.forward_plain(parts, body).await,
             };
-        if outcome == AttemptOutcome::Answered && !head.closes {
+        if outcome == AttemptOutcome::Answered && !head.closes_connection {
             self.pool_connection(connection, &head).await;
         }
         outcome
