--- a/crates/node/src/controller/controller_node.rs
+++ b/crates/node/src/controller/controller_node.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use celeryhaven_lease::{Lease, Nearness};
-use celeryhaven_placement::{Allocation, DeploymentFigures};
+use celeryhaven_placement::{Allocation, DeploymentStatus};
 use celeryhaven_types::store::{Object, ObjectKey, StoreCall, StoreReply, StoreRequest};
 use celeryhaven_types::{
     Config, DataCentreName, DeploymentName, DomainName, Fence, Incarnation, TimeMs,
@@ -97,9 +97,9 @@
     }
 
     /// How each deployment stands in the domains that are held, summed over them.
-    pub fn figures(&self, now: TimeMs) -> Vec<DeploymentFigures> {
+    pub fn figures(&self, now: TimeMs) -> Vec<DeploymentStatus> {
         let inputs = self.inputs();
-        let mut sums: BTreeMap<DeploymentName, DeploymentFigures> = BTreeMap::new();
+        let mut sums: BTreeMap<DeploymentName, DeploymentStatus> = BTreeMap::new();
         for figures in self.domains.values().flat_map(|domain| domain.figures(now, inputs)) {
             match sums.get_mut(&figures.deployment) {
                 None => drop(sums.insert(figures.deployment.clone(), figures)),
--- a/crates/node/src/controller/state/domain_control.rs
+++ b/crates/node/src/controller/state/domain_control.rs
@@ -1,7 +1,7 @@
 use celeryhaven_lease::Lease;
 use celeryhaven_placement::{
-    Allocation, DeploymentFigures, DomainView, Wanted, broken_replicas, empty_placement, figures,
-    orders,
+    Allocation, DeploymentStatus, DomainView, WantedDeployment, broken_replicas,
+    deployment_statuses, empty_placement, orders,
 };
 use celeryhaven_types::store::{StoreCall, StoreReply};
 use celeryhaven_types::{
@@ -145,7 +145,7 @@
     fn give_orders(
         &mut self,
         placement: &DomainPlacement,
-        wanted: &[Wanted],
+        wanted: &[WantedDeployment],
         config: &Config,
         options: &ControllerOptions,
         out: &mut Outbox<'_>,
@@ -178,7 +178,7 @@
 /// What can be seen from outside.
 impl DomainControl {
     /// How each deployment stands here; empty unless the lease is held.
-    pub(crate) fn figures(&self, now: TimeMs, inputs: DomainInputs<'_>) -> Vec<DeploymentFigures> {
+    pub(crate) fn figures(&self, now: TimeMs, inputs: DomainInputs<'_>) -> Vec<DeploymentStatus> {
         let known = self.tenure.as_ref().zip(self.placement.settled().flatten());
         let (Some((tenure, placement)), Some(config)) = (known, inputs.config) else {
             return Vec::new();
@@ -186,7 +186,7 @@
         let wanted = wanted(&self.domain, config, inputs.allocation).unwrap_or_default();
         let (vms, objective) = (&tenure.vms, config.intent.objective);
         let view = DomainView { placement, vms, wanted: &wanted, objective };
-        figures(now, inputs.options.placement, view)
+        deployment_statuses(now, inputs.options.placement, view)
     }
 }
 
@@ -209,8 +209,10 @@
         let Some(state) = vms.and_then(|vms| vms.get_mut(vm)) else { return };
         match outcome {
             // Only if it answered as itself: the address may have gone to another VM.
-            PollOutcome::Reported(report) if report.vm == *vm => state.hear(asked_at, report),
-            _ => state.miss(asked_at),
+            PollOutcome::Reported(report) if report.vm == *vm => {
+                state.apply_report(asked_at, report)
+            }
+            _ => state.record_poll_failure(asked_at),
         }
     }
 
@@ -246,14 +248,14 @@
     domain: &DomainName,
     config: &Config,
     allocation: Option<&Allocation>,
-) -> Option<Vec<Wanted>> {
+) -> Option<Vec<WantedDeployment>> {
     let allocation = allocation.filter(|allocation| allocation.config <= config.number)?;
     let shares = allocation.shares.iter().filter(|share| share.domain == *domain);
     let wanted = shares.filter_map(|share| {
         let deployments = &config.intent.deployments;
         let mut deployment = deployments.iter().find(|d| d.name == share.deployment)?.clone();
         deployment.version = share.version.clone();
-        Some(Wanted { deployment, replicas: share.replicas })
+        Some(WantedDeployment { deployment, replicas: share.replicas })
     });
     Some(wanted.collect())
 }
--- a/crates/node/src/controller/state/tenure.rs
+++ b/crates/node/src/controller/state/tenure.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use celeryhaven_placement::{DomainPlanner, VmState, VmStay};
+use celeryhaven_placement::{DomainPlanner, VmAvailability, VmState};
 use celeryhaven_types::{Config, DomainName, Fence, TimeMs, VmEntry, VmName, VmPhase};
 
 use crate::controller::interface::{ControllerAction, ControllerOptions};
@@ -42,7 +42,7 @@
             let state = self.vms.entry(entry.vm.clone()).or_insert_with(new);
             state.address = entry.address;
             state.accelerators = entry.accelerators;
-            state.stay = stay(entry, config);
+            state.availability = stay(entry, config);
         }
         for (vm, state) in &mut self.vms {
             state.listed =
@@ -64,10 +64,10 @@
     }
 }
 
-fn stay(entry: &VmEntry, config: &Config) -> VmStay {
+fn stay(entry: &VmEntry, config: &Config) -> VmAvailability {
     match entry.phase {
-        VmPhase::Leaving => VmStay::Leaving,
-        VmPhase::Live if config.drained_vms.contains(&entry.vm) => VmStay::Drained,
-        VmPhase::Live => VmStay::Stays,
+        VmPhase::Leaving => VmAvailability::Leaving,
+        VmPhase::Live if config.drained_vms.contains(&entry.vm) => VmAvailability::Drained,
+        VmPhase::Live => VmAvailability::Available,
     }
 }
--- a/crates/placement/src/domain/breaking.rs
+++ b/crates/placement/src/domain/breaking.rs
@@ -2,7 +2,7 @@
 use celeryhaven_types::{Deployment, Priority, Replica, ReplicaPhase};
 
 use crate::domain::forming::in_state;
-use crate::domain::{Draft, MemberState, Wanted};
+use crate::domain::{Draft, MemberState, WantedDeployment};
 
 state! {
     /// A replica that cannot serve for want of VMs.
@@ -66,7 +66,7 @@
         self.shortages().iter().any(|shortage| shortage.priority > priority)
     }
 
-    fn broken(&self, wanted: &Wanted) -> Vec<Shortage> {
+    fn broken(&self, wanted: &WantedDeployment) -> Vec<Shortage> {
         let of = &wanted.deployment.name;
         let replicas = self.next.replicas.iter().enumerate();
         let replicas = replicas
@@ -85,7 +85,7 @@
         replicas.collect()
     }
 
-    fn unformed(&self, wanted: &Wanted) -> Option<Shortage> {
+    fn unformed(&self, wanted: &WantedDeployment) -> Option<Shortage> {
         let needed = wanted.deployment.vms_per_replica as usize;
         let is_short = self.active(&wanted.deployment.name) < wanted.replicas as usize;
         (is_short && needed > self.free.len()).then(|| Shortage {
--- a/crates/placement/src/domain/draft.rs
+++ b/crates/placement/src/domain/draft.rs
@@ -7,7 +7,9 @@
 };
 use celeryhaven_wholeness::Agreement;
 
-use crate::domain::{DomainView, Memory, PlacementSettings, VmState, VmStay, Wanted};
+use crate::domain::{
+    DomainView, Memory, PlacementSettings, VmAvailability, VmState, WantedDeployment,
+};
 
 state! {
     /// How one member stands to its replica.
@@ -74,7 +76,7 @@
         let is_usable = |vm: &VmState| {
             let report = vm.fresh_report(self.now, life_ms);
             vm.listed
-                && vm.stay == VmStay::Stays
+                && vm.availability == VmAvailability::Available
                 && report.is_some_and(|seen| seen.report.formation.is_none())
         };
         let usable = self.view.vms.iter().filter(|(_, vm)| is_usable(vm));
@@ -90,7 +92,7 @@
 /// What is known of members.
 impl Draft<'_> {
     pub(crate) fn is_silent(&self, vm: &VmState) -> bool {
-        self.now.since(vm.heard_at) >= self.settings.silent_ms
+        self.now.since(vm.last_contact) >= self.settings.silent_ms
     }
 
     pub(crate) fn is_lost(&self, vm: &VmName) -> bool {
@@ -123,7 +125,7 @@
             Agreement::new(replica.name.clone(), replica.generation, replica.vms.clone(), life_ms);
         let states = replica.vms.iter().filter_map(|vm| self.view.vms.get(vm));
         for seen in states.filter_map(|state| state.fresh_report(self.now, life_ms)) {
-            agreement.report(seen.asked_at, &seen.report);
+            agreement.report(seen.polled_at, &seen.report);
         }
         agreement.judge(self.now).is_whole()
     }
@@ -169,12 +171,12 @@
 
 /// What is known of deployments.
 impl Draft<'_> {
-    pub(crate) fn wanted(&self, deployment: &DeploymentName) -> Option<&Wanted> {
+    pub(crate) fn wanted(&self, deployment: &DeploymentName) -> Option<&WantedDeployment> {
         self.view.wanted.iter().find(|wanted| wanted.deployment.name == *deployment)
     }
 
     /// Deployments by priority, the highest first, then by name.
-    pub(crate) fn wanted_by_priority(&self) -> Vec<Wanted> {
+    pub(crate) fn wanted_by_priority(&self) -> Vec<WantedDeployment> {
         let mut wanted = self.view.wanted.to_vec();
         wanted.sort_by(|a, b| {
             let by_priority = b.deployment.priority.cmp(&a.deployment.priority);
--- a/crates/placement/src/domain/draining.rs
+++ b/crates/placement/src/domain/draining.rs
@@ -1,7 +1,7 @@
 use celeryhaven_types::{DeploymentName, Replica, ReplicaName, ReplicaPhase, VmName};
 
 use crate::domain::forming::in_state;
-use crate::domain::{Draft, MemberState, VmStay, Wanted};
+use crate::domain::{Draft, MemberState, VmAvailability, WantedDeployment};
 
 impl Draft<'_> {
     /// Ends the draining of replicas that have finished their requests.
@@ -37,7 +37,7 @@
             let seen = state.and_then(|s| s.fresh_report(self.now, self.settings.report_life_ms));
             seen.is_some_and(|seen| {
                 let load_age_ms = seen.report.load_age_ms;
-                seen.asked_at >= settled_at.after(load_age_ms)
+                seen.polled_at >= settled_at.after(load_age_ms)
                     && seen.report.running == 0
                     && seen.report.waiting == 0
             })
@@ -62,7 +62,8 @@
 
     fn is_kept(&self, vm: &VmName) -> bool {
         let state = self.view.vms.get(vm);
-        !self.is_lost(vm) && state.is_some_and(|state| state.stay == VmStay::Stays)
+        !self.is_lost(vm)
+            && state.is_some_and(|state| state.availability == VmAvailability::Available)
     }
 
     /// Begins to drain replicas that have to stop.
@@ -82,12 +83,12 @@
         for name in self.names_in(ReplicaPhase::Serving) {
             let Some(at) = self.next.replicas.iter().position(|r| r.name == name) else { continue };
             let replica = &self.next.replicas[at];
-            let has = |stay| {
+            let has = |availability| {
                 let states = replica.vms.iter().filter_map(|vm| self.view.vms.get(vm));
-                states.into_iter().any(|state| state.stay == stay)
+                states.into_iter().any(|state| state.availability == availability)
             };
-            let in_turn = has(VmStay::Drained) && !self.is_changing(&replica.deployment);
-            if has(VmStay::Leaving) || in_turn {
+            let in_turn = has(VmAvailability::Drained) && !self.is_changing(&replica.deployment);
+            if has(VmAvailability::Leaving) || in_turn {
                 self.drain(at);
             }
         }
@@ -120,7 +121,7 @@
 
     /// Stops replicas above the wanted number: those that don't serve first, then those of another
     /// version, then the youngest.
-    fn drain_excess(&mut self, wanted: &Wanted) {
+    fn drain_excess(&mut self, wanted: &WantedDeployment) {
         let of = &wanted.deployment.name;
         let successor_forms = self.next.replicas.iter().any(|replica| {
             replica.deployment == *of
@@ -144,7 +145,7 @@
 
     /// Without room for a successor, now or soon, drains one replica of another version or shape at a
     /// time.
-    fn drain_replaced(&mut self, wanted: &Wanted) {
+    fn drain_replaced(&mut self, wanted: &WantedDeployment) {
         let of = &wanted.deployment.name;
         let has_room = self.free.len() >= wanted.deployment.vms_per_replica as usize;
         if has_room || self.is_emptying() || self.is_changing(of) {
--- a/crates/placement/src/domain/forming.rs
+++ b/crates/placement/src/domain/forming.rs
@@ -1,7 +1,7 @@
 use celeryhaven_types::{Generation, Replica, ReplicaName, ReplicaPhase, VmName};
 
 use crate::domain::memory::Progress;
-use crate::domain::{Draft, MemberState, VmState, Wanted};
+use crate::domain::{Draft, MemberState, VmState, WantedDeployment};
 
 impl Draft<'_> {
     /// Lets whole formations serve, and begins those anew that cannot become whole.
@@ -37,12 +37,14 @@
     pub(crate) fn contradicts(&self, states: &[(VmName, MemberState)]) -> bool {
         let vm_state = |vm: &VmName| self.view.vms.get(vm);
         let contradicting = states.iter().filter(|(_, state)| *state == MemberState::Contradicts);
-        let first =
-            contradicting.filter_map(|(vm, _)| Some(vm_state(vm)?.report.as_ref()?.asked_at)).min();
+        let first = contradicting
+            .filter_map(|(vm, _)| Some(vm_state(vm)?.report.as_ref()?.polled_at))
+            .min();
         first.is_some_and(|first| {
             states.iter().all(|(vm, state)| {
-                let tried_at = vm_state(vm).and_then(VmState::tried_at);
-                *state != MemberState::Unheard && tried_at.is_some_and(|tried| tried >= first)
+                let last_completed_poll = vm_state(vm).and_then(VmState::last_completed_poll);
+                *state != MemberState::Unheard
+                    && last_completed_poll.is_some_and(|tried| tried >= first)
             })
         })
     }
@@ -94,7 +96,7 @@
         }
     }
 
-    fn form(&mut self, wanted: &Wanted) {
+    fn form(&mut self, wanted: &WantedDeployment) {
         let deployment = &wanted.deployment;
         let needed = deployment.vms_per_replica as usize;
         let vms = self.take_free(needed);
--- a/crates/placement/src/domain/mod.rs
+++ b/crates/placement/src/domain/mod.rs
@@ -3,7 +3,6 @@
 mod breaking;
 mod draft;
 mod draining;
-mod figures;
 mod forming;
 mod memory;
 mod mending;
@@ -11,15 +10,16 @@
 mod planner;
 mod releasing;
 mod settings;
+mod status;
 mod view;
 mod vm_state;
 
-pub use figures::{DeploymentFigures, broken_replicas, figures};
 pub use order::{MemberOrder, orders};
 pub use planner::{DomainPlanner, empty_placement};
 pub use settings::PlacementSettings;
-pub use view::{DomainView, Wanted};
-pub use vm_state::{TimedReport, VmState, VmStay};
+pub use status::{DeploymentStatus, broken_replicas, deployment_statuses};
+pub use view::{DomainView, WantedDeployment};
+pub use vm_state::{TimedReport, VmAvailability, VmState};
 
 pub(crate) use draft::{Draft, MemberState};
 pub(crate) use memory::Memory;
--- a/crates/placement/src/domain/releasing.rs
+++ b/crates/placement/src/domain/releasing.rs
@@ -22,6 +22,6 @@
         let since = self.memory.releasing_since.get(vm).copied().unwrap_or(self.now);
         let safe_at = since.after(self.settings.order_life_ms);
         let report = state.fresh_report(self.now, self.settings.report_life_ms);
-        report.is_some_and(|seen| seen.asked_at >= safe_at && seen.report.formation.is_none())
+        report.is_some_and(|seen| seen.polled_at >= safe_at && seen.report.formation.is_none())
     }
 }
--- a/crates/placement/src/domain/figures.rs
+++ b/crates/placement/src/domain/status.rs
@@ -6,7 +6,7 @@
 state! {
     /// How a deployment stands in one fabric domain.
     #[derive(Eq)]
-    pub struct DeploymentFigures {
+    pub struct DeploymentStatus {
         /// The deployment.
         pub deployment: DeploymentName,
         /// Replicas that the domain is to hold.
@@ -34,11 +34,11 @@
 }
 
 /// How each wanted deployment stands, by name.
-pub fn figures(
+pub fn deployment_statuses(
     now: TimeMs,
     settings: PlacementSettings,
     view: DomainView<'_>,
-) -> Vec<DeploymentFigures> {
+) -> Vec<DeploymentStatus> {
     let mut memory = Memory::default();
     let draft = Draft::new(now, settings, view, &mut memory);
     let accelerators = |replica: &Replica| -> u32 {
@@ -47,15 +47,15 @@
     };
     let serves =
         |replica: &&Replica| replica.phase == ReplicaPhase::Serving && draft.is_whole(replica);
-    let figures = view.wanted.iter().map(|wanted| {
+    let statuses = view.wanted.iter().map(|wanted| {
         let name = &wanted.deployment.name;
         let of = || view.placement.replicas.iter().filter(|r| r.deployment == *name);
-        DeploymentFigures {
+        DeploymentStatus {
             deployment: name.clone(),
             wanted: wanted.replicas,
             whole: of().filter(serves).count() as u32,
             stranded_accelerators: of().filter(|r| !serves(r)).map(accelerators).sum(),
         }
     });
-    figures.collect()
+    statuses.collect()
 }
--- a/crates/placement/src/domain/view.rs
+++ b/crates/placement/src/domain/view.rs
@@ -7,7 +7,7 @@
 
 state! {
     /// What a fabric domain is to hold of one deployment.
-    pub struct Wanted {
+    pub struct WantedDeployment {
         /// The deployment, in the version that this domain is to run.
         pub deployment: Deployment,
         /// Number of replicas here.
@@ -23,7 +23,7 @@
     /// Its VMs.
     pub vms: &'a BTreeMap<VmName, VmState>,
     /// What it is to hold.
-    pub wanted: &'a [Wanted],
+    pub wanted: &'a [WantedDeployment],
     /// What a loss of service costs.
     pub objective: Objective,
 }
--- a/crates/placement/src/domain/vm_state.rs
+++ b/crates/placement/src/domain/vm_state.rs
@@ -9,9 +9,9 @@
 state! {
     /// Whether a VM may be given to a replica.
     #[derive(Copy, Eq)]
-    pub enum VmStay {
+    pub enum VmAvailability {
         /// It stays.
-        Stays,
+        Available,
         /// An operator is emptying it.
         Drained,
         /// The platform will stop it soon.
@@ -21,7 +21,7 @@
     /// A member's report and when it was asked for.
     pub struct TimedReport {
         /// When the poll was sent; its answer is as old as that.
-        pub asked_at: TimeMs,
+        pub polled_at: TimeMs,
         /// The report.
         pub report: MemberReport,
     }
@@ -35,15 +35,15 @@
         /// Whether the VM list shows it.
         pub listed: bool,
         /// Whether it may be given to a replica.
-        pub stay: VmStay,
+        pub availability: VmAvailability,
         /// Its last report.
         pub report: Option<TimedReport>,
         /// When its last restarts were seen, the newest last.
         pub restarted_at: Vec<TimeMs>,
         /// When the last poll that failed was sent.
-        pub missed_at: Option<TimeMs>,
+        pub poll_failed_at: Option<TimeMs>,
         /// When it was last heard, or when this holder first knew of it.
-        pub heard_at: TimeMs,
+        pub last_contact: TimeMs,
     }
 }
 
@@ -54,25 +54,25 @@
             address,
             accelerators,
             listed: true,
-            stay: VmStay::Stays,
+            availability: VmAvailability::Available,
             report: None,
             restarted_at: Vec::new(),
-            missed_at: None,
-            heard_at: now,
+            poll_failed_at: None,
+            last_contact: now,
         }
     }
 
     /// Takes a report in; one of an earlier poll that comes last is dropped.
-    pub fn hear(&mut self, asked_at: TimeMs, report: MemberReport) {
-        if self.report.as_ref().is_some_and(|seen| seen.asked_at > asked_at) {
+    pub fn apply_report(&mut self, polled_at: TimeMs, report: MemberReport) {
+        if self.report.as_ref().is_some_and(|seen| seen.polled_at > polled_at) {
             return;
         }
         if self.report.as_ref().is_some_and(|seen| seen.report.boot != report.boot) {
-            self.restarted_at.push(asked_at);
+            self.restarted_at.push(polled_at);
             self.restarted_at.drain(..self.restarted_at.len().saturating_sub(RESTARTS_KEPT));
         }
-        self.heard_at = self.heard_at.max(asked_at);
-        self.report = Some(TimedReport { asked_at, report });
+        self.last_contact = self.last_contact.max(polled_at);
+        self.report = Some(TimedReport { polled_at, report });
     }
 
     /// Restarts seen within a span.
@@ -81,18 +81,20 @@
     }
 
     /// Notes that a poll got no answer.
-    pub fn miss(&mut self, asked_at: TimeMs) {
-        self.missed_at = self.missed_at.max(Some(asked_at));
+    pub fn record_poll_failure(&mut self, polled_at: TimeMs) {
+        self.poll_failed_at = self.poll_failed_at.max(Some(polled_at));
     }
 
     /// When the last poll whose end is known was sent, whether it was answered or not.
-    pub fn tried_at(&self) -> Option<TimeMs> {
-        self.missed_at.max(self.report.as_ref().map(|seen| seen.asked_at))
+    pub fn last_completed_poll(&self) -> Option<TimeMs> {
+        self.poll_failed_at.max(self.report.as_ref().map(|seen| seen.polled_at))
     }
 
     /// The last report if it is not older than `life_ms` and no later poll failed.
     pub fn fresh_report(&self, now: TimeMs, life_ms: u64) -> Option<&TimedReport> {
-        let seen = self.report.as_ref().filter(|seen| now.since(seen.asked_at) < life_ms);
-        seen.filter(|seen| self.missed_at.is_none_or(|missed_at| missed_at < seen.asked_at))
+        let seen = self.report.as_ref().filter(|seen| now.since(seen.polled_at) < life_ms);
+        seen.filter(|seen| {
+            self.poll_failed_at.is_none_or(|poll_failed_at| poll_failed_at < seen.polled_at)
+        })
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -15,7 +15,8 @@
 
 pub use allocation::{Allocation, DomainCapacity, Share, allocate, replicas_unplaced};
 pub use domain::{
-    DeploymentFigures, DomainPlanner, DomainView, MemberOrder, PlacementSettings, TimedReport,
-    VmState, VmStay, Wanted, broken_replicas, empty_placement, figures, orders,
+    DeploymentStatus, DomainPlanner, DomainView, MemberOrder, PlacementSettings, TimedReport,
+    VmAvailability, VmState, WantedDeployment, broken_replicas, deployment_statuses,
+    empty_placement, orders,
 };
 pub use plan::{describe, drain_summary, make_plan};
--- a/crates/placement/tests/domain.rs
+++ b/crates/placement/tests/domain.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use celeryhaven_placement::{PlacementSettings, VmStay};
+use celeryhaven_placement::{PlacementSettings, VmAvailability};
 use celeryhaven_types::{Boot, ModelVersion, Priority, ReplicaPhase};
 use support::{FakeDomain, LOAD_MS, STEP_MS, deployment, vm, wanted};
 
@@ -113,7 +113,7 @@
     domain.run_until("serves", |d| d.serving("draft") == 1);
     let leaving = domain.placement.replicas[0].vms[0].clone();
     domain.engines.get_mut(&leaving).expect("known").running = 3;
-    domain.vms.get_mut(&leaving).expect("known").stay = VmStay::Leaving;
+    domain.vms.get_mut(&leaving).expect("known").availability = VmAvailability::Leaving;
     domain.step();
     assert_eq!(domain.in_phase("draft", ReplicaPhase::Draining), 1);
     domain.run_ms(30_000);
--- a/crates/placement/tests/policy.rs
+++ b/crates/placement/tests/policy.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use celeryhaven_placement::{PlacementSettings, Wanted};
+use celeryhaven_placement::{PlacementSettings, WantedDeployment};
 use support::{FakeDomain, deployment, vm, wanted};
 
 /// 20 VMs of 4 accelerators and one spare: a third of today's fleet.
-fn day_domain() -> Vec<Wanted> {
+fn day_domain() -> Vec<WantedDeployment> {
     vec![
         wanted(deployment("low", 4, 1), 2),
         wanted(deployment("middle", 4, 4), 1),
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 
 use celeryhaven_placement::{
-    DomainPlanner, DomainView, PlacementSettings, VmState, Wanted, empty_placement, orders,
+    DomainPlanner, DomainView, PlacementSettings, VmState, WantedDeployment, empty_placement,
+    orders,
 };
 use celeryhaven_types::{
     Boot, DataCentreName, Deployment, DeploymentName, DomainName, DomainPlacement, Fence,
@@ -42,7 +43,7 @@
     pub settings: PlacementSettings,
     pub vms: BTreeMap<VmName, VmState>,
     pub engines: BTreeMap<VmName, FakeEngine>,
-    pub wanted: Vec<Wanted>,
+    pub wanted: Vec<WantedDeployment>,
     pub objective: Objective,
     /// Summed over deployments: wanted replicas that were not whole, in milliseconds.
     pub downtime_ms: BTreeMap<DeploymentName, u64>,
@@ -77,8 +78,8 @@
     }
 }
 
-pub fn wanted(deployment: Deployment, replicas: u32) -> Wanted {
-    Wanted { deployment, replicas }
+pub fn wanted(deployment: Deployment, replicas: u32) -> WantedDeployment {
+    WantedDeployment { deployment, replicas }
 }
 
 pub fn vm(number: usize) -> VmName {
@@ -86,7 +87,7 @@
 }
 
 impl FakeDomain {
-    pub fn new(vms: usize, wanted: Vec<Wanted>) -> Self {
+    pub fn new(vms: usize, wanted: Vec<WantedDeployment>) -> Self {
         let now = TimeMs::new(0);
         let address = |i: usize| SocketAddr::from(([127, 0, 0, 1], 9_000 + i as u16));
         let engine = |i: usize| FakeEngine {
@@ -183,7 +184,7 @@
                 continue;
             }
             if engine.silent || !engine.listed {
-                state.miss(self.now);
+                state.record_poll_failure(self.now);
                 continue;
             }
             let report = MemberReport {
@@ -200,7 +201,7 @@
                 adapters_loaded: Vec::new(),
                 weights_loaded_bytes: loaded_bytes(engine),
             };
-            state.hear(self.now, report);
+            state.apply_report(self.now, report);
         }
     }
 
