--- a/crates/placement/src/allocation/allocate.rs
+++ b/crates/placement/src/allocation/allocate.rs
@@ -1,30 +1,29 @@
 use celeryhaven_derives::state;
 use celeryhaven_types::{DataCentreName, Deployment, DomainName, DomainPlacement, Intent};
 
-use crate::allocation::split::Split;
-use crate::allocation::{Share, version_for};
+use crate::allocation::allocation_draft::AllocationDraft;
+use crate::allocation::{Share, assign_versions};
 
 state! {
-    /// What a fabric domain has room for.
+    /// VMs and accelerators of a fabric domain.
     #[derive(Eq)]
     pub struct DomainCapacity {
         /// The domain.
         pub domain: DomainName,
         /// Its data centre.
         pub data_centre: DataCentreName,
-        /// Engine VMs that stay.
+        /// Engine VMs that are neither drained nor leaving.
         pub vms: u32,
-        /// Accelerators that one of them holds.
+        /// Accelerators of each VM.
         pub accelerators_per_vm: u32,
     }
 }
 
-/// Divides the wanted replicas among fabric domains.
+/// Allocates the wanted replicas to fabric domains.
 ///
-/// What stands is kept wherever there is room: a move costs the downtime of a whole load. New
-/// replicas go where the deployment has fewest, first by data centre, then by domain, so that the
-/// loss of one takes the smallest part of it. A deployment that finds no room takes it from those
-/// of lower priority.
+/// Current replicas stay where capacity allows, since moving one means loading its weights again.
+/// New replicas go to the data centre, then the domain, with the fewest replicas of the deployment,
+/// to limit the effect of an outage. A deployment without capacity preempts those of lower priority.
 pub fn allocate(
     intent: &Intent,
     domains: &[DomainCapacity],
@@ -40,8 +39,8 @@
     with_versions(shares, intent, current, placements)
 }
 
-/// What an intent comes to in the end, when every version has gone round.
-pub(crate) fn allocate_finally(
+/// Returns the allocation once all version rollouts are complete; each share has the new version.
+pub(crate) fn allocate_after_rollout(
     intent: &Intent,
     domains: &[DomainCapacity],
     current: &[Share],
@@ -57,7 +56,7 @@
     placements: &[DomainPlacement],
     keeps_surplus: bool,
 ) -> Vec<Share> {
-    Split::new(domains).divide(intent, current, placements, keeps_surplus)
+    AllocationDraft::new(domains).divide(intent, current, placements, keeps_surplus)
 }
 
 fn with_versions(
@@ -67,16 +66,16 @@
     placements: &[DomainPlacement],
 ) -> Vec<Share> {
     for deployment in &intent.deployments {
-        version_for(deployment, &mut shares, current, placements);
+        assign_versions(deployment, &mut shares, current, placements);
     }
     shares
 }
 
-/// Wanted replicas that no domain has room for.
+/// Returns the number of wanted replicas that no domain has capacity for.
 pub fn replicas_unplaced(intent: &Intent, shares: &[Share]) -> u32 {
     let missing = |deployment: &Deployment| {
-        let of = shares.iter().filter(|share| share.deployment == deployment.name);
-        deployment.replicas.saturating_sub(of.map(|share| share.replicas).sum())
+        let matching = shares.iter().filter(|share| share.deployment == deployment.name);
+        deployment.replicas.saturating_sub(matching.map(|share| share.replicas).sum())
     };
     intent.deployments.iter().map(missing).sum()
 }
--- a/crates/placement/src/allocation/split.rs
+++ b/crates/placement/src/allocation/allocation_draft.rs
@@ -5,24 +5,24 @@
     DataCentreName, Deployment, DeploymentName, DomainName, DomainPlacement, Intent,
 };
 
-use crate::allocation::{DomainCapacity, Share, is_changed};
+use crate::allocation::{DomainCapacity, Share, is_rollout_complete};
 
-/// Replicas by deployment and domain, and the VMs left over, while they are worked out.
+/// An allocation under construction: replicas by deployment and domain, and the remaining VMs.
 #[derive(Clone, Debug)]
-pub(crate) struct Split<'a> {
+pub(crate) struct AllocationDraft<'a> {
     domains: &'a [DomainCapacity],
-    left: BTreeMap<DomainName, u32>,
+    free_vms: BTreeMap<DomainName, u32>,
     counts: BTreeMap<(DeploymentName, DomainName), u32>,
 }
 
-impl<'a> Split<'a> {
+impl<'a> AllocationDraft<'a> {
     pub(crate) fn new(domains: &'a [DomainCapacity]) -> Self {
-        let left = domains.iter().map(|domain| (domain.domain.clone(), domain.vms)).collect();
-        Self { domains, left, counts: BTreeMap::new() }
+        let free_vms = domains.iter().map(|domain| (domain.domain.clone(), domain.vms)).collect();
+        Self { domains, free_vms, counts: BTreeMap::new() }
     }
 }
 
-impl Split<'_> {
+impl AllocationDraft<'_> {
     pub(crate) fn divide(
         mut self,
         intent: &Intent,
@@ -34,14 +34,14 @@
         by_priority
             .sort_by_key(|deployment| (Reverse(deployment.priority), deployment.name.clone()));
         for deployment in &by_priority {
-            let keeps = keeps_surplus && !is_changed(deployment, current, placements);
-            self.keep(deployment, current, keeps);
+            let keeps = keeps_surplus && !is_rollout_complete(deployment, current, placements);
+            self.keep_current(deployment, current, keeps);
         }
         for group in by_priority.chunk_by(|a, b| a.priority == b.priority) {
-            self = self.add_best(group, intent.objective);
+            self = self.add_in_best_order(group, intent.objective);
         }
-        for (at, deployment) in by_priority.iter().enumerate() {
-            self.take_from_lower(deployment, &by_priority[at + 1..]);
+        for (index, deployment) in by_priority.iter().enumerate() {
+            self.preempt_lower(deployment, &by_priority[index + 1..]);
         }
         self.into_shares(intent)
     }
@@ -51,16 +51,16 @@
     }
 
     pub(crate) fn total(&self, deployment: &Deployment) -> u32 {
-        let of = self.counts.iter().filter(|((name, _), _)| *name == deployment.name);
-        of.map(|(_, count)| count).sum()
+        let matching = self.counts.iter().filter(|((name, _), _)| *name == deployment.name);
+        matching.map(|(_, count)| count).sum()
     }
 
-    /// Accelerators of VMs that nothing is placed on.
-    pub(crate) fn accelerators_left(&self) -> u32 {
-        let left = |domain: &DomainCapacity| {
-            self.left.get(&domain.domain).copied().unwrap_or(0) * domain.accelerators_per_vm
+    /// Returns the number of accelerators on VMs without a replica.
+    pub(crate) fn free_accelerators(&self) -> u32 {
+        let in_domain = |domain: &DomainCapacity| {
+            self.free_vms.get(&domain.domain).copied().unwrap_or(0) * domain.accelerators_per_vm
         };
-        self.domains.iter().map(left).sum()
+        self.domains.iter().map(in_domain).sum()
     }
 
     fn in_data_centre(&self, deployment: &Deployment, data_centre: &DataCentreName) -> u32 {
@@ -70,8 +70,8 @@
 
     fn place(&mut self, deployment: &Deployment, domain: &DomainName, replicas: u32) {
         *self.counts.entry((deployment.name.clone(), domain.clone())).or_insert(0) += replicas;
-        if let Some(left) = self.left.get_mut(domain) {
-            *left = left.saturating_sub(replicas * deployment.vms_per_replica);
+        if let Some(free_vms) = self.free_vms.get_mut(domain) {
+            *free_vms = free_vms.saturating_sub(replicas * deployment.vms_per_replica);
         }
     }
 
@@ -79,29 +79,28 @@
         if let Some(count) = self.counts.get_mut(&(deployment.name.clone(), domain.clone())) {
             *count = count.saturating_sub(1);
         }
-        if let Some(left) = self.left.get_mut(domain) {
-            *left += deployment.vms_per_replica;
+        if let Some(free_vms) = self.free_vms.get_mut(domain) {
+            *free_vms += deployment.vms_per_replica;
         }
     }
 
-    fn room(&self, deployment: &Deployment, domain: &DomainName) -> u32 {
-        let left = self.left.get(domain).copied().unwrap_or(0);
-        left / deployment.vms_per_replica.max(1)
+    fn capacity_for(&self, deployment: &Deployment, domain: &DomainName) -> u32 {
+        let free_vms = self.free_vms.get(domain).copied().unwrap_or(0);
+        free_vms / deployment.vms_per_replica.max(1)
     }
 
-    /// Keeps what stands as far as there is room.
+    /// Keeps the current replicas as far as capacity allows.
     ///
-    /// While a version goes round, replicas above the wanted number stay: they carry the load of
-    /// those that are being replaced, so that a change to fewer replicas of another version never
-    /// serves with fewer than wanted. At the end those of the old version go.
-    fn keep(&mut self, deployment: &Deployment, current: &[Share], keeps_surplus: bool) {
+    /// Surplus replicas stay during a version rollout and serve in place of those being replaced.
+    /// Otherwise a change of version to fewer replicas would run below the wanted number.
+    fn keep_current(&mut self, deployment: &Deployment, current: &[Share], keeps_surplus: bool) {
         let mut kept: Vec<(bool, u32, DomainName)> = Vec::new();
-        for domain in self.allowed(deployment) {
-            let is_it = |share: &&Share| {
+        for domain in self.allowed_domains(deployment) {
+            let is_match = |share: &&Share| {
                 share.deployment == deployment.name && share.domain == domain.domain
             };
-            let Some(share) = current.iter().find(is_it) else { continue };
-            let replicas = share.replicas.min(self.room(deployment, &domain.domain));
+            let Some(share) = current.iter().find(is_match) else { continue };
+            let replicas = share.replicas.min(self.capacity_for(deployment, &domain.domain));
             let is_old = share.version != deployment.version;
             kept.push((is_old, replicas, domain.domain));
         }
@@ -116,38 +115,39 @@
         }
     }
 
-    pub(crate) fn add(&mut self, deployment: &Deployment) {
+    pub(crate) fn add_missing(&mut self, deployment: &Deployment) {
         while self.total(deployment) < deployment.replicas {
-            let Some(domain) = self.best(deployment) else { return };
+            let Some(domain) = self.best_domain(deployment) else { return };
             self.place(deployment, &domain, 1);
         }
     }
 
-    fn best(&self, deployment: &Deployment) -> Option<DomainName> {
-        let allowed = self.allowed(deployment).into_iter();
-        let with_room = allowed.filter(|domain| self.room(deployment, &domain.domain) > 0);
-        let best = with_room.min_by_key(|domain| {
+    fn best_domain(&self, deployment: &Deployment) -> Option<DomainName> {
+        let allowed_domains = self.allowed_domains(deployment).into_iter();
+        let with_capacity =
+            allowed_domains.filter(|domain| self.capacity_for(deployment, &domain.domain) > 0);
+        let best_domain = with_capacity.min_by_key(|domain| {
             (
                 self.in_data_centre(deployment, &domain.data_centre),
                 self.count(deployment, &domain.domain),
-                Reverse(self.left.get(&domain.domain).copied()),
+                Reverse(self.free_vms.get(&domain.domain).copied()),
                 domain.domain.clone(),
             )
         });
-        best.map(|domain| domain.domain.clone())
+        best_domain.map(|domain| domain.domain.clone())
     }
 
-    fn allowed(&self, deployment: &Deployment) -> Vec<DomainCapacity> {
+    fn allowed_domains(&self, deployment: &Deployment) -> Vec<DomainCapacity> {
         let names = &deployment.data_centres;
         let domains = self.domains.iter();
         domains.filter(|d| names.is_empty() || names.contains(&d.data_centre)).cloned().collect()
     }
 
-    /// Takes room from deployments of strictly lower priority, the lowest first.
-    fn take_from_lower(&mut self, deployment: &Deployment, lower: &[&Deployment]) {
+    /// Removes replicas of strictly lower priority, the lowest first, until all wanted ones fit.
+    fn preempt_lower(&mut self, deployment: &Deployment, lower: &[&Deployment]) {
         while self.total(deployment) < deployment.replicas {
             let found = self
-                .allowed(deployment)
+                .allowed_domains(deployment)
                 .into_iter()
                 .filter_map(|domain| {
                     let victims = self.victims(deployment, &domain.domain, lower)?;
@@ -168,18 +168,18 @@
         domain: &DomainName,
         lower: &[&'d Deployment],
     ) -> Option<Vec<&'d Deployment>> {
-        let mut left = self.left.get(domain).copied().unwrap_or(0);
+        let mut free_vms = self.free_vms.get(domain).copied().unwrap_or(0);
         let mut victims = Vec::new();
         let candidates = lower.iter().rev().filter(|other| other.priority < deployment.priority);
         for other in candidates {
             let mut count = self.count(other, domain);
-            while left < deployment.vms_per_replica && count > 0 {
-                left += other.vms_per_replica;
+            while free_vms < deployment.vms_per_replica && count > 0 {
+                free_vms += other.vms_per_replica;
                 count -= 1;
                 victims.push(*other);
             }
         }
-        (left >= deployment.vms_per_replica).then_some(victims)
+        (free_vms >= deployment.vms_per_replica).then_some(victims)
     }
 
     fn into_shares(self, intent: &Intent) -> Vec<Share> {
--- a/crates/placement/src/allocation/mod.rs
+++ b/crates/placement/src/allocation/mod.rs
@@ -1,13 +1,13 @@
-//! How many replicas of each deployment each fabric domain gets, in which version.
+//! Number and version of each deployment's replicas in each fabric domain.
 
 mod allocate;
+mod allocation_draft;
 mod packing;
 mod record;
-mod split;
-mod turns;
+mod rollout;
 
 pub use allocate::{DomainCapacity, allocate, replicas_unplaced};
 pub use record::{Allocation, Share};
 
-pub(crate) use allocate::allocate_finally;
-pub(crate) use turns::{is_changed, version_for};
+pub(crate) use allocate::allocate_after_rollout;
+pub(crate) use rollout::{assign_versions, is_rollout_complete};
--- a/crates/placement/src/allocation/packing.rs
+++ b/crates/placement/src/allocation/packing.rs
@@ -1,32 +1,28 @@
 use celeryhaven_types::{Deployment, Objective};
 
-use crate::allocation::split::Split;
+use crate::allocation::allocation_draft::AllocationDraft;
 
-/// Deployments of one priority whose orders are all tried; more go by name.
-///
-/// Four have 24 orders, each a division of the fleet; five have 120, and a controller that divides
-/// ten times a second would spend its share of the processor on it.
+/// Largest group of deployments for which all orders are tried; their number is its factorial.
 const ORDERED_MAX: usize = 4;
 
-impl Split<'_> {
-    /// Adds what is missing of deployments of one priority, in the order that costs least.
+impl AllocationDraft<'_> {
+    /// Adds missing replicas of deployments of one priority, in the order that costs least.
     ///
-    /// Made for a fleet that has no room for all. Whoever comes first finds room, and what is left
-    /// may be too small for the next: one large replica or several small ones. Riga, who weighs
-    /// downtime, wants more of the wanted replicas placed; Brackenfield, who weighs stranded
-    /// accelerators, wants fewer VMs left over. Without a difference the first by name goes first.
-    pub(crate) fn add_best(self, group: &[&Deployment], objective: Objective) -> Self {
+    /// In a fleet that is too small for all, the order decides between one large replica and several
+    /// small ones, and thereby between downtime and stranded accelerators. Ties and large groups
+    /// are ordered by name.
+    pub(crate) fn add_in_best_order(self, group: &[&Deployment], objective: Objective) -> Self {
         if group.len() > ORDERED_MAX {
-            return self.added(group);
+            return self.with_added(group);
         }
-        let added = orders(group).into_iter().map(|order| self.clone().added(&order));
-        let cost = |split: &Self| split.cost(group, objective);
-        added.min_by(|a, b| cost(a).total_cmp(&cost(b))).unwrap_or(self)
+        let drafts = permutations(group).into_iter().map(|order| self.clone().with_added(&order));
+        let cost = |draft: &Self| draft.cost(group, objective);
+        drafts.min_by(|a, b| cost(a).total_cmp(&cost(b))).unwrap_or(self)
     }
 
-    fn added(mut self, order: &[&Deployment]) -> Self {
+    fn with_added(mut self, order: &[&Deployment]) -> Self {
         for deployment in order {
-            self.add(deployment);
+            self.add_missing(deployment);
         }
         self
     }
@@ -36,17 +32,17 @@
             |deployment: &&Deployment| deployment.replicas.saturating_sub(self.total(deployment));
         let missing: u32 = group.iter().map(missing).sum();
         objective.group_downtime_weight * f64::from(missing)
-            + objective.stranded_accelerator_weight * f64::from(self.accelerators_left())
+            + objective.stranded_accelerator_weight * f64::from(self.free_accelerators())
     }
 }
 
-/// All orders of a few things, the given one first.
-fn orders<'d>(group: &[&'d Deployment]) -> Vec<Vec<&'d Deployment>> {
+/// Returns all permutations, starting with the given order.
+fn permutations<'d>(group: &[&'d Deployment]) -> Vec<Vec<&'d Deployment>> {
     let Some((first, rest)) = group.split_first() else { return vec![Vec::new()] };
     let mut all = Vec::new();
-    for at in 0..group.len() {
-        for mut order in orders(rest) {
-            order.insert(at.min(order.len()), *first);
+    for index in 0..group.len() {
+        for mut order in permutations(rest) {
+            order.insert(index.min(order.len()), *first);
             all.push(order);
         }
     }
--- a/crates/placement/src/allocation/record.rs
+++ b/crates/placement/src/allocation/record.rs
@@ -2,7 +2,7 @@
 use celeryhaven_types::{ConfigNumber, DeploymentName, DomainName, Fence, ModelVersion};
 
 data! {
-    /// What each fabric domain is to hold, kept in the Object API at `allocation/current`.
+    /// Replicas allocated to each fabric domain, stored in the Object API at `allocation/current`.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Allocation {
@@ -10,13 +10,13 @@
         pub fence: Fence,
         /// Identity of the write.
         pub write_id: u64,
-        /// The configuration it was made from; holders of domains wait until they have it.
+        /// Configuration that it was made from; lease holders of domains wait until they have it.
         pub config: ConfigNumber,
-        /// By deployment, then domain; domains that hold nothing of a deployment are left out.
+        /// Sorted by deployment, then domain; without shares of zero replicas.
         pub shares: Vec<Share>,
     }
 
-    /// Part of a deployment in one fabric domain.
+    /// Replicas of a deployment that are allocated to one fabric domain.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Share {
@@ -26,7 +26,7 @@
         pub domain: DomainName,
         /// Number of replicas.
         pub replicas: u32,
-        /// The version that this domain runs; the new one comes to each domain in its turn.
+        /// Version that this domain runs; a new one is rolled out one domain at a time.
         pub version: ModelVersion,
     }
 }
--- a/crates/placement/src/domain/draft.rs
+++ b/crates/placement/src/domain/draft.rs
@@ -8,37 +8,38 @@
 use celeryhaven_wholeness::Agreement;
 
 use crate::domain::{
-    DomainView, Memory, PlacementSettings, VmAvailability, VmState, WantedDeployment,
+    DomainView, PlacementSettings, PlannerState, VmAvailability, VmState, WantedDeployment,
 };
 
 state! {
-    /// How one member stands to its replica.
+    /// State of a member with respect to the current formation of its replica.
     #[derive(Copy, Eq)]
     pub(crate) enum MemberState {
-        /// Its fresh report names this formation and it is ready.
+        /// It has a fresh report, in which it is ready.
         Agrees,
-        /// It has not joined this formation yet.
+        /// It has not joined yet.
         Joining,
-        /// It contradicts: restarted, or the members met other boots.
-        Contradicts,
-        /// The VM list has dropped it, or it has been silent for too long.
+        /// It has left the formation or restarted, lost contact with a member, or joined with another
+        /// boot of one.
+        Disagrees,
+        /// It is not listed any more, or has been silent for `silent_ms`.
         Lost,
-        /// Not heard just now, but not for long.
-        Unheard,
+        /// It has no fresh report, but is not lost.
+        NotReporting,
     }
 }
 
-/// The next placement of a domain while it is being worked out.
+/// The next placement of a domain, under construction.
 #[derive(Debug)]
 pub(crate) struct Draft<'a> {
     pub(crate) now: TimeMs,
     pub(crate) settings: PlacementSettings,
     pub(crate) view: DomainView<'a>,
-    pub(crate) memory: &'a mut Memory,
+    pub(crate) planner_state: &'a mut PlannerState,
     pub(crate) next: DomainPlacement,
-    /// VMs that can be given to a replica now, by name.
+    /// VMs that can be assigned to a replica now.
     pub(crate) free: BTreeSet<VmName>,
-    silence_counts: bool,
+    trusts_silence: bool,
 }
 
 /// Construction.
@@ -47,25 +48,30 @@
         now: TimeMs,
         settings: PlacementSettings,
         view: DomainView<'a>,
-        memory: &'a mut Memory,
+        planner_state: &'a mut PlannerState,
     ) -> Self {
         let next = view.placement.clone();
-        let mut draft =
-            Self { now, settings, view, memory, next, free: BTreeSet::new(), silence_counts: true };
-        let heard_most_ms = draft.memory.heard_most_ms(now, draft.hears_most());
-        draft.silence_counts = heard_most_ms >= settings.silent_ms;
+        let mut draft = Self {
+            now,
+            settings,
+            view,
+            planner_state,
+            next,
+            free: BTreeSet::new(),
+            trusts_silence: true,
+        };
+        let contact_with_most_ms =
+            draft.planner_state.contact_with_most_ms(now, draft.has_contact_with_most());
+        draft.trusts_silence = contact_with_most_ms >= settings.silent_ms;
         draft
     }
 
-    /// Whether this holder hears at least half of the domain's VMs.
+    /// Whether this holder has contact with at least half of the domain's VMs.
     ///
-    /// A controller that is cut off hears nobody. If it took the silence for the members' death, it
-    /// would stop replicas that serve well, as soon as a single order got through. One member among
-    /// several that falls silent is its own fault; most of them at once are the observer's, or the
-    /// whole domain's, and then there are no spares to mend with either. When they are heard again,
-    /// they are not all heard at once: a member is lost only when most have been heard for as long
-    /// as it has been silent.
-    fn hears_most(&self) -> bool {
+    /// Silence of most VMs points to a network fault of the observer or an outage of the domain, so
+    /// no member counts as lost then: a controller that is cut off would stop healthy replicas. VMs
+    /// that return do so one by one, so silence counts again only after `silent_ms` of contact.
+    fn has_contact_with_most(&self) -> bool {
         let listed = self.view.vms.values().filter(|vm| vm.listed);
         let silent = listed.clone().filter(|vm| self.is_silent(vm)).count();
         silent * 2 <= listed.count()
@@ -77,7 +83,7 @@
             let report = vm.fresh_report(self.now, life_ms);
             vm.listed
                 && vm.availability == VmAvailability::Available
-                && report.is_some_and(|seen| seen.report.formation.is_none())
+                && report.is_some_and(|timed| timed.report.formation.is_none())
         };
         let usable = self.view.vms.iter().filter(|(_, vm)| is_usable(vm));
         usable.map(|(name, _)| name.clone()).filter(|name| !self.is_placed(name)).collect()
@@ -89,7 +95,7 @@
     }
 }
 
-/// What is known of members.
+/// State of members.
 impl Draft<'_> {
     pub(crate) fn is_silent(&self, vm: &VmState) -> bool {
         self.now.since(vm.last_contact) >= self.settings.silent_ms
@@ -97,19 +103,19 @@
 
     pub(crate) fn is_lost(&self, vm: &VmName) -> bool {
         match self.view.vms.get(vm) {
-            Some(state) if state.listed => self.silence_counts && self.is_silent(state),
+            Some(state) if state.listed => self.trusts_silence && self.is_silent(state),
             _ => true,
         }
     }
 
-    /// Whether a VM restarts so often that a replica had better do without it.
+    /// Whether a VM has restarted at least `unsteady_restarts` times within `unsteady_ms`.
     pub(crate) fn is_unsteady(&self, vm: &VmName) -> bool {
         let Some(state) = self.view.vms.get(vm) else { return false };
         let restarts = state.restarts_within(self.now, self.settings.unsteady_ms);
         restarts >= self.settings.unsteady_restarts
     }
 
-    /// Takes VMs out of the free ones, those that restart often last.
+    /// Removes up to `count` VMs from the free ones, unsteady VMs last.
     pub(crate) fn take_free(&mut self, count: usize) -> Vec<VmName> {
         let (steady, unsteady): (Vec<VmName>, Vec<VmName>) =
             self.free.iter().cloned().partition(|vm| !self.is_unsteady(vm));
@@ -118,14 +124,14 @@
         taken
     }
 
-    /// Whether every member's fresh report agrees on this formation.
+    /// Whether fresh reports of all members agree on this formation.
     pub(crate) fn is_whole(&self, replica: &Replica) -> bool {
         let life_ms = self.settings.report_life_ms;
         let mut agreement =
             Agreement::new(replica.name.clone(), replica.generation, replica.vms.clone(), life_ms);
         let states = replica.vms.iter().filter_map(|vm| self.view.vms.get(vm));
-        for seen in states.filter_map(|state| state.fresh_report(self.now, life_ms)) {
-            agreement.report(seen.polled_at, &seen.report);
+        for timed in states.filter_map(|state| state.fresh_report(self.now, life_ms)) {
+            agreement.report(timed.polled_at, &timed.report);
         }
         agreement.judge(self.now).is_whole()
     }
@@ -136,46 +142,46 @@
         }
         let life_ms = self.settings.report_life_ms;
         let state = self.view.vms.get(vm);
-        let Some(seen) = state.and_then(|state| state.fresh_report(self.now, life_ms)) else {
-            return MemberState::Unheard;
+        let Some(timed) = state.and_then(|state| state.fresh_report(self.now, life_ms)) else {
+            return MemberState::NotReporting;
         };
-        let formation = seen.report.formation.as_ref();
+        let formation = timed.report.formation.as_ref();
         let formation = formation.filter(|formation| {
             formation.replica == replica.name && formation.generation == replica.generation
         });
         match (formation, replica.phase) {
-            (Some(formation), _) if self.met_other_boots(replica, &formation.member_boots) => {
-                MemberState::Contradicts
+            (Some(formation), _) if self.has_boot_mismatch(replica, &formation.member_boots) => {
+                MemberState::Disagrees
             }
             (Some(formation), _) if formation.ready => MemberState::Agrees,
-            // It had met all members and lost one since; only a new formation mends that.
+            // It had joined with all members and has lost one since; members don't rejoin.
             (Some(formation), _) if formation.member_boots.len() == replica.vms.len() => {
-                MemberState::Contradicts
+                MemberState::Disagrees
             }
             (_, ReplicaPhase::Forming) => MemberState::Joining,
-            _ => MemberState::Contradicts,
+            _ => MemberState::Disagrees,
         }
     }
 
-    /// Whether a member joined with another start of a member than the one that reports now.
-    fn met_other_boots(&self, replica: &Replica, met: &[Boot]) -> bool {
+    /// Whether a member's latest report has another boot than the formation was joined with.
+    fn has_boot_mismatch(&self, replica: &Replica, joined_boots: &[Boot]) -> bool {
         let life_ms = self.settings.report_life_ms;
-        met.len() == replica.vms.len()
-            && replica.vms.iter().zip(met).any(|(vm, boot)| {
+        joined_boots.len() == replica.vms.len()
+            && replica.vms.iter().zip(joined_boots).any(|(vm, boot)| {
                 let state = self.view.vms.get(vm);
-                let seen = state.and_then(|state| state.fresh_report(self.now, life_ms));
-                seen.is_some_and(|seen| seen.report.boot != *boot)
+                let timed = state.and_then(|state| state.fresh_report(self.now, life_ms));
+                timed.is_some_and(|timed| timed.report.boot != *boot)
             })
     }
 }
 
-/// What is known of deployments.
+/// State of deployments.
 impl Draft<'_> {
     pub(crate) fn wanted(&self, deployment: &DeploymentName) -> Option<&WantedDeployment> {
         self.view.wanted.iter().find(|wanted| wanted.deployment.name == *deployment)
     }
 
-    /// Deployments by priority, the highest first, then by name.
+    /// Returns the wanted deployments by descending priority, then by name.
     pub(crate) fn wanted_by_priority(&self) -> Vec<WantedDeployment> {
         let mut wanted = self.view.wanted.to_vec();
         wanted.sort_by(|a, b| {
@@ -190,7 +196,7 @@
         wanted.map(|wanted| wanted.deployment.priority).unwrap_or_default()
     }
 
-    /// Positions of all replicas, those of the highest priority first.
+    /// Returns the indices of all replicas by descending priority, then by name.
     pub(crate) fn by_priority(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.next.replicas.len()).collect();
         order.sort_by_key(|i| {
@@ -200,30 +206,32 @@
         order
     }
 
-    /// Replicas of a deployment that are not draining.
+    /// Returns the number of replicas of a deployment that are not draining.
     pub(crate) fn active(&self, deployment: &DeploymentName) -> usize {
-        let of = self.next.replicas.iter().filter(|replica| replica.deployment == *deployment);
-        of.filter(|replica| replica.phase != ReplicaPhase::Draining).count()
+        let matching =
+            self.next.replicas.iter().filter(|replica| replica.deployment == *deployment);
+        matching.filter(|replica| replica.phase != ReplicaPhase::Draining).count()
     }
 
     pub(crate) fn forming(&self) -> usize {
         self.next.replicas.iter().filter(|r| r.phase == ReplicaPhase::Forming).count()
     }
 
-    /// Whether VMs will be free soon: a replica drains, or a VM that answers is being released.
-    pub(crate) fn is_emptying(&self) -> bool {
+    /// Whether VMs will soon be free: a replica is draining, or a VM that is not lost is being
+    /// released.
+    pub(crate) fn is_freeing_vms(&self) -> bool {
         let mut replicas = self.next.replicas.iter();
         replicas.any(|replica| replica.phase == ReplicaPhase::Draining)
             || self.next.releasing.iter().any(|releasing| !self.is_lost(&releasing.vm))
     }
 
-    /// Whether another replica may begin to load now.
+    /// Whether another replica may start forming.
     pub(crate) fn may_form(&self) -> bool {
         self.forming() < self.settings.forming_at_once as usize
     }
 
-    /// Whether a replica is not what its deployment asks for.
-    pub(crate) fn is_stale(&self, replica: &Replica) -> bool {
+    /// Whether a replica differs from its deployment in version, model or number of VMs, or has none.
+    pub(crate) fn is_outdated(&self, replica: &Replica) -> bool {
         self.wanted(&replica.deployment).is_none_or(|wanted| {
             let deployment = &wanted.deployment;
             replica.version != deployment.version
@@ -235,23 +243,23 @@
 
 /// Changes.
 impl Draft<'_> {
-    /// Begins a new formation of a replica, with spares in the place of `gone`.
+    /// Starts a new formation of a replica, with spares in place of the `replaced` members.
     ///
     /// Returns false and changes nothing if there are too few spares.
-    pub(crate) fn form_again(&mut self, at: usize, gone: &[VmName]) -> bool {
-        if self.free.len() < gone.len() {
+    pub(crate) fn restart_formation(&mut self, index: usize, replaced: &[VmName]) -> bool {
+        if self.free.len() < replaced.len() {
             return false;
         }
-        let spares = self.take_free(gone.len());
-        let wanted = self.wanted(&self.next.replicas[at].deployment).cloned();
-        let replica = &mut self.next.replicas[at];
+        let spares = self.take_free(replaced.len());
+        let wanted = self.wanted(&self.next.replicas[index].deployment).cloned();
+        let replica = &mut self.next.replicas[index];
         replica.generation = replica.generation.next();
         replica.phase = ReplicaPhase::Forming;
         if let Some(wanted) = wanted {
             replica.version = wanted.deployment.version;
             replica.model = wanted.deployment.model;
         }
-        for (vm, spare) in gone.iter().zip(spares) {
+        for (vm, spare) in replaced.iter().zip(spares) {
             let slot = replica.vms.iter_mut().find(|member| *member == vm);
             if let Some(slot) = slot {
                 *slot = spare;
@@ -262,9 +270,9 @@
         true
     }
 
-    /// Takes a replica out of the placement; its VMs are released.
-    pub(crate) fn dissolve(&mut self, at: usize) {
-        let replica = self.next.replicas.remove(at);
+    /// Removes a replica from the placement and releases its VMs.
+    pub(crate) fn dissolve(&mut self, index: usize) {
+        let replica = self.next.replicas.remove(index);
         let releasing = replica.vms.into_iter();
         let releasing = releasing.map(|vm| Releasing { vm, replica: replica.name.clone() });
         self.next.releasing.extend(releasing);
--- a/crates/placement/src/domain/forming.rs
+++ b/crates/placement/src/domain/forming.rs
@@ -1,66 +1,64 @@
 use celeryhaven_types::{Generation, Replica, ReplicaName, ReplicaPhase, VmName};
 
-use crate::domain::memory::Progress;
+use crate::domain::planner_state::Progress;
 use crate::domain::{Draft, MemberState, VmState, WantedDeployment};
 
 impl Draft<'_> {
-    /// Lets whole formations serve, and begins those anew that cannot become whole.
-    pub(crate) fn settle_forming(&mut self) {
-        for at in self.by_priority() {
-            if self.next.replicas[at].phase != ReplicaPhase::Forming {
+    /// Marks whole formations as serving, and restarts those that cannot become whole.
+    pub(crate) fn advance_forming(&mut self) {
+        for index in self.by_priority() {
+            if self.next.replicas[index].phase != ReplicaPhase::Forming {
                 continue;
             }
-            if self.is_whole(&self.next.replicas[at]) {
-                self.next.replicas[at].phase = ReplicaPhase::Serving;
+            if self.is_whole(&self.next.replicas[index]) {
+                self.next.replicas[index].phase = ReplicaPhase::Serving;
                 continue;
             }
-            let states = self.member_states(at);
-            let lost = in_state(&states, MemberState::Lost);
-            let contradicts = self.contradicts(&states);
-            if !lost.is_empty() || contradicts || self.is_stuck(at) {
-                self.form_again(at, &lost);
+            let states = self.member_states(index);
+            let lost = members_in_state(&states, MemberState::Lost);
+            let disagrees = self.disagreement_confirmed(&states);
+            if !lost.is_empty() || disagrees || self.is_stalled(index) {
+                self.restart_formation(index, &lost);
             }
         }
     }
 
-    pub(crate) fn member_states(&self, at: usize) -> Vec<(VmName, MemberState)> {
-        let replica = &self.next.replicas[at];
+    pub(crate) fn member_states(&self, index: usize) -> Vec<(VmName, MemberState)> {
+        let replica = &self.next.replicas[index];
         let members = replica.vms.iter();
         members.map(|vm| (vm.clone(), self.member_state(replica, vm))).collect()
     }
 
-    /// Whether a new formation is due because members contradict.
+    /// Whether members disagree and all members have been polled since.
     ///
-    /// The others of a replica notice a dead member at once, and say so before this holder has
-    /// polled it in vain. Until every member has been tried since the first contradiction, it is
-    /// not known whether one has to be replaced, and the formation would be begun twice.
-    pub(crate) fn contradicts(&self, states: &[(VmName, MemberState)]) -> bool {
+    /// Members notice the loss of another before its poll fails here. A formation restarted before
+    /// every member has been polled would include the lost member, and be restarted once more.
+    pub(crate) fn disagreement_confirmed(&self, states: &[(VmName, MemberState)]) -> bool {
         let vm_state = |vm: &VmName| self.view.vms.get(vm);
-        let contradicting = states.iter().filter(|(_, state)| *state == MemberState::Contradicts);
-        let first = contradicting
-            .filter_map(|(vm, _)| Some(vm_state(vm)?.report.as_ref()?.polled_at))
-            .min();
+        let disagreeing = states.iter().filter(|(_, state)| *state == MemberState::Disagrees);
+        let first =
+            disagreeing.filter_map(|(vm, _)| Some(vm_state(vm)?.report.as_ref()?.polled_at)).min();
         first.is_some_and(|first| {
             states.iter().all(|(vm, state)| {
                 let last_completed_poll = vm_state(vm).and_then(VmState::last_completed_poll);
-                *state != MemberState::Unheard
+                *state != MemberState::NotReporting
                     && last_completed_poll.is_some_and(|tried| tried >= first)
             })
         })
     }
 
-    /// Whether no member has loaded anything for too long.
+    /// Whether no member has loaded anything for `forming_stuck_ms`.
     ///
-    /// A member may have taken an order and never begun, or wait for one that joined an earlier
-    /// formation; nothing in its report would ever change.
-    fn is_stuck(&mut self, at: usize) -> bool {
-        let replica = &self.next.replicas[at];
+    /// A member may have accepted an order without starting it, or wait for one that joined an
+    /// earlier formation. Neither ends by itself.
+    fn is_stalled(&mut self, index: usize) -> bool {
+        let replica = &self.next.replicas[index];
         let key: (ReplicaName, Generation) = (replica.name.clone(), replica.generation);
         let loaded_bytes = self.loaded_bytes(replica);
-        let begun = Progress { loaded_bytes, since: self.now };
-        let progress = self.memory.progress.entry(key).or_insert(begun);
+        let initial = Progress { loaded_bytes, since: self.now };
+        let progress = self.planner_state.progress.entry(key).or_insert(initial);
         if progress.loaded_bytes != loaded_bytes {
-            *progress = begun;
+            *progress = initial;
         }
         self.now.since(progress.since) >= self.settings.forming_stuck_ms
     }
@@ -68,29 +66,29 @@
     fn loaded_bytes(&self, replica: &Replica) -> u64 {
         let states = replica.vms.iter().filter_map(|vm| self.view.vms.get(vm));
         let reports = states.filter_map(|state| state.report.as_ref());
-        reports.map(|seen| seen.report.weights_loaded_bytes).sum()
+        reports.map(|timed| timed.report.weights_loaded_bytes).sum()
     }
 
-    /// Forms replicas that are wanted and missing, those of the highest priority first.
+    /// Forms missing replicas, highest priority first.
     ///
-    /// A replica that must be replaced (another version or shape) gets its successor first if
-    /// there are VMs for one more: then the change costs no downtime.
+    /// If there are VMs for one more replica, the successor of an outdated one forms before that
+    /// stops, and the change costs no downtime.
     pub(crate) fn form_missing(&mut self) {
         for wanted in self.wanted_by_priority() {
-            let of = &wanted.deployment.name;
+            let name = &wanted.deployment.name;
             let replaced = self.next.replicas.iter().any(|replica| {
-                replica.deployment == *of
+                replica.deployment == *name
                     && replica.phase != ReplicaPhase::Draining
-                    && self.is_stale(replica)
+                    && self.is_outdated(replica)
             });
             let target = wanted.replicas as usize + usize::from(replaced);
             let needed = wanted.deployment.vms_per_replica as usize;
-            while self.active(of) < target && needed <= self.free.len() && self.may_form() {
+            while self.active(name) < target && needed <= self.free.len() && self.may_form() {
                 self.form(&wanted);
             }
-            // VMs are being emptied for this deployment: if one of lower priority took those that
-            // are free by now, they would have to be emptied again.
-            if self.active(of) < wanted.replicas as usize && self.is_emptying() {
+            // VMs are being freed for this deployment. Deployments of lower priority must not take
+            // those that are free already.
+            if self.active(name) < wanted.replicas as usize && self.is_freeing_vms() {
                 return;
             }
         }
@@ -114,7 +112,10 @@
     }
 }
 
-/// The members that stand so.
-pub(crate) fn in_state(states: &[(VmName, MemberState)], state: MemberState) -> Vec<VmName> {
+/// Returns the members in the given state.
+pub(crate) fn members_in_state(
+    states: &[(VmName, MemberState)],
+    state: MemberState,
+) -> Vec<VmName> {
     states.iter().filter(|(_, other)| *other == state).map(|(vm, _)| vm.clone()).collect()
 }
--- a/crates/placement/src/domain/mod.rs
+++ b/crates/placement/src/domain/mod.rs
@@ -1,14 +1,14 @@
-//! Which VMs of a fabric domain form which replica, and the orders that follow.
+//! Assignment of the VMs of a fabric domain to replicas, and the resulting orders.
 
-mod breaking;
 mod draft;
 mod draining;
 mod forming;
-mod memory;
-mod mending;
 mod order;
 mod planner;
+mod planner_state;
+mod preemption;
 mod releasing;
+mod repairing;
 mod settings;
 mod status;
 mod view;
@@ -22,4 +22,4 @@
 pub use vm_state::{TimedReport, VmAvailability, VmState};
 
 pub(crate) use draft::{Draft, MemberState};
-pub(crate) use memory::Memory;
+pub(crate) use planner_state::PlannerState;
--- a/crates/placement/src/domain/order.rs
+++ b/crates/placement/src/domain/order.rs
@@ -7,24 +7,23 @@
 use crate::domain::{DomainView, PlacementSettings, VmState};
 
 state! {
-    /// An order that a member should get.
+    /// An order that is due to a member.
     pub struct MemberOrder {
         /// The member.
         pub vm: VmName,
-        /// What it is to do.
+        /// The action to take.
         pub kind: OrderKind,
     }
 }
 
-/// The orders that follow from a written placement and the members' reports, by VM.
+/// Returns the orders that bring members in line with a stored placement, sorted by VM.
 ///
-/// They are worked out anew each time from what members say, never from what was sent before: an
-/// order that was lost, or undone by a late one of a former holder, is simply due again. Nothing
-/// is due to a member that cannot be heard.
+/// They depend only on the members' fresh reports. An order that was lost, or undone by a late order
+/// of a former lease holder, is therefore due again. Members without a fresh report get none.
 pub fn orders(now: TimeMs, settings: &PlacementSettings, view: DomainView<'_>) -> Vec<MemberOrder> {
     let life_ms = settings.report_life_ms;
-    let heard = view.vms.iter().filter(|(_, state)| state.fresh_report(now, life_ms).is_some());
-    heard.filter_map(|(vm, state)| order_for(view, vm, state)).collect()
+    let reporting = view.vms.iter().filter(|(_, state)| state.fresh_report(now, life_ms).is_some());
+    reporting.filter_map(|(vm, state)| order_for(view, vm, state)).collect()
 }
 
 fn order_for(view: DomainView<'_>, vm: &VmName, state: &VmState) -> Option<MemberOrder> {
@@ -44,7 +43,7 @@
                 _ => return None,
             }
         }
-        // Placed nowhere, or releasing: whatever it is part of, it leaves.
+        // Not in any placed replica, or being released.
         None => OrderKind::Release { replica: formation?.replica.clone(), boot: Some(report.boot) },
     };
     Some(MemberOrder { vm: vm.clone(), kind })
--- a/crates/placement/src/domain/planner.rs
+++ b/crates/placement/src/domain/planner.rs
@@ -1,45 +1,44 @@
 use celeryhaven_derives::state;
 use celeryhaven_types::{DataCentreName, DomainName, DomainPlacement, Fence, TimeMs};
 
-use crate::domain::{DomainView, Draft, Memory, PlacementSettings};
+use crate::domain::{DomainView, Draft, PlacementSettings, PlannerState};
 
 state! {
-    /// Plans one fabric domain for the holder of its lease.
+    /// Plans the placement of one fabric domain for the holder of its lease.
     ///
-    /// It is given all that is known and returns the placement that should be written next. Every
-    /// step is safe by itself: whoever holds the lease next goes on from what was written.
+    /// Each step is safe by itself: the next holder continues from the stored placement.
     pub struct DomainPlanner {
         settings: PlacementSettings,
-        memory: Memory,
+        planner_state: PlannerState,
     }
 }
 
 impl DomainPlanner {
-    /// A planner that has seen nothing yet.
+    /// Creates a planner without any observations.
     pub fn new(settings: PlacementSettings) -> Self {
-        Self { settings, memory: Memory::default() }
+        Self { settings, planner_state: PlannerState::default() }
     }
 
-    /// The placement that should stand next; `None` if the one that stands is right.
+    /// Returns the placement to write next; `None` if no change is needed.
     ///
-    /// The order of the steps decides who gets spare VMs: replicas that were serving come before
-    /// new ones, and within each step the highest priority comes first.
+    /// The order of the steps sets who gets spare VMs: replicas that were serving come before new
+    /// ones, and within each step the highest priority comes first.
     pub fn revise(&mut self, now: TimeMs, view: DomainView<'_>) -> Option<DomainPlacement> {
-        self.memory.follow(now, view.placement);
-        let mut draft = Draft::new(now, self.settings, view, &mut self.memory);
-        draft.settle_releasing();
-        draft.settle_forming();
-        draft.mend();
+        self.planner_state.update(now, view.placement);
+        let mut draft = Draft::new(now, self.settings, view, &mut self.planner_state);
+        draft.finish_releasing();
+        draft.advance_forming();
+        draft.repair();
         draft.finish_draining();
         draft.start_draining();
-        draft.break_for_higher();
+        draft.preempt_for_higher();
         draft.form_missing();
         let next = draft.next;
         (next != *view.placement).then_some(next)
     }
 }
 
-/// The placement of a domain that nobody has placed anything in.
+/// Returns the placement of a domain without replicas.
 pub const fn empty_placement(domain: DomainName, data_centre: DataCentreName) -> DomainPlacement {
     DomainPlacement {
         domain,
--- a/crates/placement/src/domain/memory.rs
+++ b/crates/placement/src/domain/planner_state.rs
@@ -4,18 +4,18 @@
 use celeryhaven_types::{DomainPlacement, Generation, ReplicaName, ReplicaPhase, TimeMs, VmName};
 
 state! {
-    /// Since when this holder has seen something be so.
+    /// Times since which conditions have held, as observed by this lease holder.
     #[derive(Default)]
-    pub(crate) struct Memory {
+    pub(crate) struct PlannerState {
         pub(crate) releasing_since: BTreeMap<VmName, TimeMs>,
         pub(crate) draining_since: BTreeMap<(ReplicaName, Generation), TimeMs>,
         pub(crate) broken_since: BTreeMap<ReplicaName, TimeMs>,
         pub(crate) short_since: BTreeMap<String, TimeMs>,
-        pub(crate) hears_most_since: Option<TimeMs>,
+        pub(crate) contact_with_most_since: Option<TimeMs>,
         pub(crate) progress: BTreeMap<(ReplicaName, Generation), Progress>,
     }
 
-    /// How far a formation has come.
+    /// Progress of loading in a formation.
     #[derive(Copy, Eq)]
     pub(crate) struct Progress {
         pub(crate) loaded_bytes: u64,
@@ -23,18 +23,18 @@
     }
 }
 
-impl Memory {
-    /// For how long most VMs have been heard, in milliseconds.
-    pub(crate) fn heard_most_ms(&mut self, now: TimeMs, hears_most: bool) -> u64 {
-        if !hears_most {
-            self.hears_most_since = None;
+impl PlannerState {
+    /// Returns how long there has been contact with most VMs, in milliseconds.
+    pub(crate) fn contact_with_most_ms(&mut self, now: TimeMs, has_contact_with_most: bool) -> u64 {
+        if !has_contact_with_most {
+            self.contact_with_most_since = None;
             return 0;
         }
-        now.since(*self.hears_most_since.get_or_insert(now))
+        now.since(*self.contact_with_most_since.get_or_insert(now))
     }
 
-    /// Begins to count for what is new in the placement and forgets what is gone from it.
-    pub(crate) fn follow(&mut self, now: TimeMs, placement: &DomainPlacement) {
+    /// Starts timers for new entries of the placement and removes those of entries it lacks.
+    pub(crate) fn update(&mut self, now: TimeMs, placement: &DomainPlacement) {
         let releasing = &placement.releasing;
         self.releasing_since.retain(|vm, _| releasing.iter().any(|r| r.vm == *vm));
         for releasing in releasing {
--- a/crates/placement/src/domain/breaking.rs
+++ b/crates/placement/src/domain/preemption.rs
@@ -1,78 +1,77 @@
 use celeryhaven_derives::state;
 use celeryhaven_types::{Deployment, Priority, Replica, ReplicaPhase};
 
-use crate::domain::forming::in_state;
+use crate::domain::forming::members_in_state;
 use crate::domain::{Draft, MemberState, WantedDeployment};
 
 state! {
-    /// A replica that cannot serve for want of VMs.
+    /// A replica that cannot serve for lack of VMs.
     pub(crate) struct Shortage {
-        /// Names it from one round to the next.
+        /// Identifies it across rounds.
         pub(crate) key: String,
         /// Priority of its deployment.
         pub(crate) priority: Priority,
-        /// VMs it needs beyond the free ones.
+        /// VMs that it needs beyond the free ones.
         pub(crate) missing_vms: usize,
-        /// VMs it has or could have, idle until it serves.
+        /// Assigned or free VMs that are idle until it serves.
         pub(crate) idle_vms: usize,
-        /// VMs that it will have.
+        /// VMs of the complete replica.
         pub(crate) vms: usize,
-        /// How long its formation is expected to take, in seconds.
+        /// Expected duration of its formation, in seconds.
         pub(crate) forming_s: f64,
     }
 }
 
 impl Draft<'_> {
-    /// Gives VMs of a replica of low priority to one of higher priority that is short of them.
+    /// Preempts a replica of low priority for one of higher priority that lacks VMs.
     ///
-    /// Made for the loss of VMs when no spares are left. The harm in doing nothing: the replica
-    /// worth most stands still, and the accelerators it has with it, until its VM comes back. The
-    /// harm in acting: two replicas are out while one of them forms, and what is left of the other
-    /// stands idle. Which is worse depends on the users' weights: [`Draft::gains`]. One at a time,
-    /// and only after `break_after_ms`, since most VMs come back by then.
-    pub(crate) fn break_for_higher(&mut self) {
+    /// This handles the loss of VMs without spares, when [`Draft::is_worthwhile`]. It preempts one
+    /// replica at a time, and only after `break_after_ms`, since most VMs return by then.
+    pub(crate) fn preempt_for_higher(&mut self) {
         let shortages = self.shortages();
         let keys: Vec<String> = shortages.iter().map(|shortage| shortage.key.clone()).collect();
-        self.memory.short_since.retain(|key, _| keys.contains(key));
+        self.planner_state.short_since.retain(|key, _| keys.contains(key));
         for shortage in &shortages {
-            self.memory.short_since.entry(shortage.key.clone()).or_insert(self.now);
+            self.planner_state.short_since.entry(shortage.key.clone()).or_insert(self.now);
         }
-        if self.is_emptying() {
+        if self.is_freeing_vms() {
             return;
         }
         let due = shortages.iter().find_map(|shortage| {
-            let since = self.memory.short_since.get(&shortage.key)?;
+            let since = self.planner_state.short_since.get(&shortage.key)?;
             let is_due = self.now.since(*since) >= self.settings.break_after_ms;
             is_due.then(|| self.victim(shortage)).flatten()
         });
-        if let Some(at) = due {
-            self.stop(at);
+        if let Some(index) = due {
+            self.stop(index);
         }
     }
 
-    /// Shortages, the highest priority first.
+    /// Returns shortages by descending priority.
     fn shortages(&self) -> Vec<Shortage> {
         let mut shortages: Vec<Shortage> = self
             .wanted_by_priority()
             .iter()
-            .flat_map(|wanted| self.broken(wanted).into_iter().chain(self.unformed(wanted)))
+            .flat_map(|wanted| {
+                self.shortages_of_broken(wanted).into_iter().chain(self.shortage_of_missing(wanted))
+            })
             .collect();
         shortages.sort_by(|a, b| b.priority.cmp(&a.priority).then_with(|| a.key.cmp(&b.key)));
         shortages
     }
 
-    /// Whether a replica of higher priority waits for VMs.
-    pub(crate) fn is_short_above(&self, priority: Priority) -> bool {
+    /// Whether a replica of a priority above the given one lacks VMs.
+    pub(crate) fn has_shortage_above(&self, priority: Priority) -> bool {
         self.shortages().iter().any(|shortage| shortage.priority > priority)
     }
 
-    fn broken(&self, wanted: &WantedDeployment) -> Vec<Shortage> {
-        let of = &wanted.deployment.name;
+    fn shortages_of_broken(&self, wanted: &WantedDeployment) -> Vec<Shortage> {
+        let name = &wanted.deployment.name;
         let replicas = self.next.replicas.iter().enumerate();
         let replicas = replicas
-            .filter(|(_, r)| r.deployment == *of && r.phase != ReplicaPhase::Draining)
-            .filter_map(|(at, replica)| {
-                let lost = in_state(&self.member_states(at), MemberState::Lost).len();
+            .filter(|(_, r)| r.deployment == *name && r.phase != ReplicaPhase::Draining)
+            .filter_map(|(index, replica)| {
+                let lost = members_in_state(&self.member_states(index), MemberState::Lost).len();
                 (lost > self.free.len()).then(|| Shortage {
                     key: replica.name.to_string(),
                     priority: wanted.deployment.priority,
@@ -85,7 +84,7 @@
         replicas.collect()
     }
 
-    fn unformed(&self, wanted: &WantedDeployment) -> Option<Shortage> {
+    fn shortage_of_missing(&self, wanted: &WantedDeployment) -> Option<Shortage> {
         let needed = wanted.deployment.vms_per_replica as usize;
         let is_short = self.active(&wanted.deployment.name) < wanted.replicas as usize;
         (is_short && needed > self.free.len()).then(|| Shortage {
@@ -98,8 +97,8 @@
         })
     }
 
-    /// The replica to break for a shortage: of the lowest priority, one that is broken anyway
-    /// before one that serves; `None` if no choice gains enough.
+    /// Returns the replica to preempt for a shortage: of the lowest priority, and not whole if
+    /// possible; `None` if preempting it is not worthwhile.
     fn victim(&self, shortage: &Shortage) -> Option<usize> {
         let candidates = self.next.replicas.iter().enumerate().filter(|(_, replica)| {
             self.priority(replica) < shortage.priority
@@ -108,20 +107,20 @@
         let chosen = candidates.min_by_key(|(_, replica)| {
             (self.priority(replica), self.is_whole(replica), replica.name.clone())
         });
-        chosen.filter(|(_, replica)| self.gains(shortage, replica)).map(|(at, _)| at)
+        chosen.filter(|(_, replica)| self.is_worthwhile(shortage, replica)).map(|(index, _)| index)
     }
 
     fn usable_vms(&self, replica: &Replica) -> usize {
         replica.vms.iter().filter(|vm| !self.is_lost(vm)).count()
     }
 
-    /// Whether breaking costs less than waiting, over the time that a missing VM stays away.
+    /// Whether preemption costs less than waiting for the missing VM to return.
     ///
-    /// Waiting: the shortage's replica is down and its VMs are idle until the missing VM returns.
-    /// Breaking: it is down and its VMs idle while it forms; the victim is down until the missing
-    /// VM returns and it has formed again, and its VMs that are not needed are idle so long.
-    /// Downtime counts by priority, so that breaking an equal never pays.
-    fn gains(&self, shortage: &Shortage, victim: &Replica) -> bool {
+    /// While waiting, the replica with the shortage is down and its VMs are idle. With preemption,
+    /// this lasts until it has formed, the victim is down until the missing VM has returned and the
+    /// victim has formed again, and the victim's other VMs are idle until the missing VM returns.
+    /// Downtime is weighted by priority.
+    fn is_worthwhile(&self, shortage: &Shortage, victim: &Replica) -> bool {
         let return_s = self.settings.expected_return_ms as f64 / 1_000.0;
         let forming_s = shortage.forming_s;
         let victim_forming_s = self
@@ -137,14 +136,15 @@
         let stranded_weight = self.view.objective.stranded_accelerator_weight;
         let waiting = downtime_weight * worth(shortage.priority) * return_s
             + stranded_weight * idle(shortage.idle_vms) * return_s;
-        let breaking = downtime_weight
+        let preempting = downtime_weight
             * (worth(shortage.priority) * forming_s + worth(self.priority(victim)) * victim_down_s)
             + stranded_weight * (idle(shortage.vms) * forming_s + idle(left_over) * return_s);
         let needed_gain = 1.0 + f64::from(self.settings.break_gain_percent) / 100.0;
-        breaking * needed_gain <= waiting
+        preempting * needed_gain <= waiting
     }
 
-    /// How long VMs of a deployment take to load and join, with the weights store to themselves.
+    /// Returns the time that VMs of a deployment take to load and join, in seconds, if nothing else
+    /// uses the weights store.
     fn forming_s(&self, deployment: &Deployment, vms: usize) -> f64 {
         let bytes = deployment.weights_bytes as f64 * vms as f64;
         let rate = self.settings.weights_rate_bytes_per_s.max(1) as f64;
--- a/crates/placement/src/domain/settings.rs
+++ b/crates/placement/src/domain/settings.rs
@@ -1,52 +1,49 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// Spans of time and limits that placement works with.
+    /// Durations and limits of placement.
     #[derive(Copy, Eq)]
     #[serde(deny_unknown_fields, default)]
     pub struct PlacementSettings {
-        /// A member that has not answered for this long is lost.
+        /// Time without contact after which a member counts as lost.
         ///
-        /// Shorter, and a pause for garbage collection or a lost packet would cost a formation,
-        /// which takes far longer; entries stop routing to it much earlier by themselves.
+        /// Long enough to ride out short pauses and lost packets, since a new formation takes far
+        /// longer. Entries stop routing to a silent member much earlier.
         pub silent_ms: u64,
-        /// A member report older than this says nothing any more.
+        /// Time for which a member report is valid.
         pub report_life_ms: u64,
-        /// An order is not begun later than this after it was decided.
+        /// Time after its decision within which an order may be started.
         pub order_life_ms: u64,
-        /// After this long all entries know that a replica is draining and send it nothing.
+        /// Time within which all entries learn that a replica is draining.
         pub drain_settle_ms: u64,
-        /// A replica that has not finished its requests after this long is stopped all the same.
+        /// Time after which a draining replica is stopped, even with requests running.
         pub drain_max_ms: u64,
-        /// Replicas of one fabric domain that load at the same time.
+        /// Maximum number of replicas of a fabric domain that form at the same time.
         ///
-        /// The weights store is rate-limited: after a blackout, loads side by side all finish last,
-        /// while few at a time bring the highest priority back first. Measured for five replicas
-        /// (`blackout_pace_brings_worth_back_first`): one at a time costs least where four VMs can
-        /// use the whole rate, and most where they cannot; two is near the least in both.
+        /// The weights store is rate-limited. After an outage of a whole domain, a low limit brings
+        /// the highest priorities back first; too low a limit leaves part of the rate unused.
         pub forming_at_once: u32,
-        /// A formation without any progress for this long is begun anew.
+        /// Time without progress after which a formation is restarted.
         pub forming_stuck_ms: u64,
-        /// A shortage must have lasted this long before a replica of lower priority is broken for it.
+        /// Time that a shortage must last before a replica of lower priority is preempted.
         ///
-        /// Most missing VMs come back within it: 190 are restarted or replaced a day, 11 die.
+        /// Most missing VMs are back by then.
         pub break_after_ms: u64,
-        /// How long a missing VM is expected to stay away beyond that.
+        /// Expected time until a missing VM returns, beyond `break_after_ms`.
         pub expected_return_ms: u64,
-        /// Rate of the weights store, to guess how long a formation takes.
+        /// Rate of the weights store, to estimate the duration of a formation.
         pub weights_rate_bytes_per_s: u64,
-        /// What a formation takes beside loading.
+        /// Duration of a formation beside loading.
         pub joining_ms: u64,
-        /// A VM that has restarted this often within `unsteady_ms` is replaced by a spare.
+        /// Number of restarts within `unsteady_ms` that make a VM unsteady.
         ///
-        /// One restart is ordinary (190 a day among 840 VMs); two within ten minutes are not.
+        /// An unsteady member that restarts is replaced by a spare.
         pub unsteady_restarts: u32,
-        /// How long restarts are remembered.
+        /// Window in which restarts of a VM are counted.
         pub unsteady_ms: u64,
-        /// Gain that breaking must promise over waiting, in percent of the cost of waiting.
+        /// Minimum gain of preemption over waiting, in percent of the cost of preemption.
         ///
-        /// How long VMs stay away and formations take are guesses; a choice that only just pays is not taken, so
-        /// that small errors in them don't move replicas to and fro.
+        /// Both costs are estimates; the margin keeps small errors from moving replicas repeatedly.
         pub break_gain_percent: u32,
     }
 }
@@ -73,43 +70,43 @@
 }
 
 impl PlacementSettings {
-    /// Changes how long a silent member is waited for.
+    /// Sets the time without contact after which a member counts as lost.
     pub const fn with_silent_ms(mut self, silent_ms: u64) -> Self {
         self.silent_ms = silent_ms;
         self
     }
 
-    /// Changes how many replicas load at the same time.
+    /// Sets the maximum number of replicas that form at the same time.
     pub const fn with_forming_at_once(mut self, forming_at_once: u32) -> Self {
         self.forming_at_once = forming_at_once;
         self
     }
 
-    /// Changes the rate of the weights store.
+    /// Sets the rate of the weights store.
     pub const fn with_weights_rate_bytes_per_s(mut self, weights_rate_bytes_per_s: u64) -> Self {
         self.weights_rate_bytes_per_s = weights_rate_bytes_per_s;
         self
     }
 
-    /// Changes how long a shortage must have lasted before a replica is broken for it.
+    /// Sets the time that a shortage must last before a replica is preempted.
     pub const fn with_break_after_ms(mut self, break_after_ms: u64) -> Self {
         self.break_after_ms = break_after_ms;
         self
     }
 
-    /// Changes the gain that breaking must promise; a large one means never.
+    /// Sets the minimum gain of preemption; a very large one disables it.
     pub const fn with_break_gain_percent(mut self, break_gain_percent: u32) -> Self {
         self.break_gain_percent = break_gain_percent;
         self
     }
 
-    /// Changes how many restarts make a VM unsteady.
+    /// Sets the number of restarts that make a VM unsteady.
     pub const fn with_unsteady_restarts(mut self, unsteady_restarts: u32) -> Self {
         self.unsteady_restarts = unsteady_restarts;
         self
     }
 
-    /// Changes how long after its decision an order may be begun.
+    /// Sets the time after its decision within which an order may be started.
     pub const fn with_order_life_ms(mut self, order_life_ms: u64) -> Self {
         self.order_life_ms = order_life_ms;
         self
--- a/crates/placement/src/domain/view.rs
+++ b/crates/placement/src/domain/view.rs
@@ -6,24 +6,24 @@
 use crate::domain::VmState;
 
 state! {
-    /// What a fabric domain is to hold of one deployment.
+    /// A deployment and the number of its replicas that a fabric domain should run.
     pub struct WantedDeployment {
-        /// The deployment, in the version that this domain is to run.
+        /// The deployment, in the version assigned to this domain.
         pub deployment: Deployment,
-        /// Number of replicas here.
+        /// Number of replicas in this domain.
         pub replicas: u32,
     }
 }
 
-/// What is known of a fabric domain when it is planned.
+/// Inputs for planning a fabric domain.
 #[derive(Clone, Copy, Debug)]
 pub struct DomainView<'a> {
-    /// What was written last.
+    /// The stored placement.
     pub placement: &'a DomainPlacement,
-    /// Its VMs.
+    /// VMs of the domain.
     pub vms: &'a BTreeMap<VmName, VmState>,
-    /// What it is to hold.
+    /// Deployments that the domain should run.
     pub wanted: &'a [WantedDeployment],
-    /// What a loss of service costs.
+    /// Weights of downtime and of stranded accelerators.
     pub objective: Objective,
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! | module | what it decides |
 //! |---|---|
-//! | [`allocation`] | how many replicas of each deployment each fabric domain gets, in which version |
-//! | [`domain`] | which VMs of a fabric domain form which replica, and the orders that follow |
-//! | [`plan`] | what a changed intent would form, stop and replace, and for whom |
+//! | [`allocation`] | number and version of a deployment's replicas in each fabric domain |
+//! | [`domain`] | the replica that each VM of a fabric domain belongs to, and the resulting orders |
+//! | [`plan`] | replicas that a changed intent would form, stop and replace, and who uses them |
 //!
-//! All of it is plain functions of what is known now. The only memory is since when something has
-//! been so; a new holder of a lease starts that anew, which only makes it wait longer.
+//! The only state is when a condition was first observed. A new lease holder starts without it and
+//! therefore waits longer.
 
 pub mod allocation;
 pub mod domain;
--- a/crates/placement/src/plan/describe.rs
+++ b/crates/placement/src/plan/describe.rs
@@ -1,6 +1,6 @@
 use celeryhaven_types::{Change, OrganisationName, PlanEffect};
 
-/// One line that a person reads for one effect of a plan.
+/// Describes an effect of a plan in one line.
 ///
 /// ```
 /// use celeryhaven_placement::describe;
@@ -29,7 +29,7 @@
     if names.is_empty() { "nobody".to_owned() } else { names.join(", ") }
 }
 
-/// The line that the audit record has for a drain; `None` for other changes.
+/// Returns the summary of a drain for the audit record; `None` for other changes.
 pub fn drain_summary(change: &Change) -> Option<String> {
     let (what, name, drained) = match change {
         Change::DrainVm { vm, drained } => ("VM", vm.as_str(), drained),
--- a/crates/placement/src/plan/effects.rs
+++ b/crates/placement/src/plan/effects.rs
@@ -3,13 +3,13 @@
     Plan, PlanEffect, Replica, ReplicaPhase,
 };
 
-use crate::allocation::{DomainCapacity, Share, allocate_finally};
+use crate::allocation::{DomainCapacity, Share, allocate_after_rollout};
 use crate::plan::{plan_id, settings_diff};
 
-/// Works out what an intent would change, without changing anything.
+/// Computes the effects of an intent without applying it.
 ///
-/// `current` is what each domain holds now, `placements` and `domains` what was read last: the plan
-/// says what would happen if nothing else changed meanwhile. Confirming is bound to the base.
+/// `current` is the allocation in force; `placements` and `domains` are as last read. The plan can
+/// be confirmed only while the configuration that it is based on is in force.
 pub fn make_plan(
     config: Option<&Config>,
     intent: Intent,
@@ -19,13 +19,13 @@
     domains: &[DomainCapacity],
 ) -> Plan {
     let base = config.map_or(ConfigNumber::default(), |config| config.number);
-    let shares = allocate_finally(&intent, domains, current, placements);
+    let shares = allocate_after_rollout(&intent, domains, current, placements);
     let all = all_organisations(config, &intent);
     let mut effects = settings_diff(config.map(|config| &config.intent), &intent);
     for deployment in &intent.deployments {
         effects.extend(deployment_effects(deployment, &shares, placements, &all));
     }
-    effects.extend(removed(config, &intent, placements, &all));
+    effects.extend(removed_deployment_effects(config, &intent, placements, &all));
     Plan { id: plan_id(base, &intent), base, operator, intent, effects }
 }
 
@@ -38,7 +38,7 @@
     names
 }
 
-fn users(deployment: &Deployment, all: &[OrganisationName]) -> Vec<OrganisationName> {
+fn organisations_of(deployment: &Deployment, all: &[OrganisationName]) -> Vec<OrganisationName> {
     match deployment.organisations.as_slice() {
         [] => all.to_vec(),
         some => some.to_vec(),
@@ -61,17 +61,17 @@
     all: &[OrganisationName],
 ) -> Vec<PlanEffect> {
     let mut effects = Vec::new();
-    let mut kept = 0;
+    let mut kept_replicas = 0;
     for placement in placements {
-        let is_it = |share: &&Share| {
+        let is_match = |share: &&Share| {
             share.deployment == deployment.name && share.domain == placement.domain
         };
-        let share = shares.iter().find(is_it).map_or(0, |share| share.replicas as usize);
-        for (at, replica) in serving(placement, deployment).enumerate() {
+        let share = shares.iter().find(is_match).map_or(0, |share| share.replicas as usize);
+        for (index, replica) in serving(placement, deployment).enumerate() {
             let name = replica.name.clone();
-            let organisations = users(deployment, all);
+            let organisations = organisations_of(deployment, all);
             let deployment_name = deployment.name.clone();
-            if at >= share {
+            if index >= share {
                 effects.push(PlanEffect::Stop {
                     replica: name,
                     deployment: deployment_name,
@@ -79,7 +79,7 @@
                 });
                 continue;
             }
-            kept += 1;
+            kept_replicas += 1;
             if is_replaced(replica, deployment) {
                 effects.push(PlanEffect::Replace {
                     replica: name,
@@ -92,7 +92,7 @@
     let placed: u32 =
         shares.iter().filter(|s| s.deployment == deployment.name).map(|s| s.replicas).sum();
     let deployment_name = || deployment.name.clone();
-    let formed = placed.saturating_sub(kept);
+    let formed = placed.saturating_sub(kept_replicas);
     if formed > 0 {
         effects.push(PlanEffect::Form { deployment: deployment_name(), replicas: formed });
     }
@@ -109,8 +109,8 @@
         || replica.vms.len() != deployment.vms_per_replica as usize
 }
 
-/// Replicas of deployments that the intent no longer has.
-fn removed(
+/// Returns an effect for each replica whose deployment the intent removes.
+fn removed_deployment_effects(
     config: Option<&Config>,
     intent: &Intent,
     placements: &[DomainPlacement],
@@ -120,14 +120,15 @@
     let is_kept = |deployment: &&Deployment| {
         intent.deployments.iter().any(|other| other.name == deployment.name)
     };
-    let gone = before.iter().filter(|deployment| !is_kept(deployment));
-    gone.flat_map(|deployment| {
-        let replicas = placements.iter().flat_map(move |p| serving(p, deployment));
-        replicas.map(|replica| PlanEffect::Stop {
-            replica: replica.name.clone(),
-            deployment: deployment.name.clone(),
-            organisations: users(deployment, all),
+    let removed = before.iter().filter(|deployment| !is_kept(deployment));
+    removed
+        .flat_map(|deployment| {
+            let replicas = placements.iter().flat_map(move |p| serving(p, deployment));
+            replicas.map(|replica| PlanEffect::Stop {
+                replica: replica.name.clone(),
+                deployment: deployment.name.clone(),
+                organisations: organisations_of(deployment, all),
+            })
         })
-    })
-    .collect()
+        .collect()
 }
--- a/crates/placement/src/plan/identity.rs
+++ b/crates/placement/src/plan/identity.rs
@@ -3,10 +3,10 @@
 use celeryhaven_types::{ConfigNumber, Intent, PlanId};
 use sha2::{Digest as _, Sha256};
 
-/// Hexadecimal digits of a plan's identity: short enough to type, long enough to be unique.
+/// Short enough for operators to type.
 const DIGITS: usize = 12;
 
-/// Binds a plan to its base and its intent: another base or intent has another identity.
+/// Derives the identity of a plan from its base and its intent.
 pub(crate) fn plan_id(base: ConfigNumber, intent: &Intent) -> PlanId {
     let intent = serde_json::to_string(intent).unwrap_or_default();
     let digest = Sha256::digest(format!("{base}\n{intent}").as_bytes());
--- a/crates/placement/src/plan/mod.rs
+++ b/crates/placement/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! What a changed intent would form, stop and replace, and for whom.
+//! Effects of a changed intent: replicas that it would form, stop and replace, and who uses them.
 
 mod describe;
 mod effects;
--- a/crates/placement/src/plan/settings_diff.rs
+++ b/crates/placement/src/plan/settings_diff.rs
@@ -2,7 +2,7 @@
 
 use celeryhaven_types::{Deployment, Intent, PlanEffect};
 
-/// What changes without stopping anything, as one line each.
+/// Lists the changed settings, one line each.
 pub(crate) fn settings_diff(before: Option<&Intent>, after: &Intent) -> Vec<PlanEffect> {
     let empty = Intent {
         organisations: Vec::new(),
@@ -39,14 +39,14 @@
     name: impl Fn(&T) -> &N,
 ) -> Vec<String> {
     let find = |items: &[T], wanted: &N| items.iter().position(|item| name(item) == wanted);
-    let gone = before.iter().filter(|item| find(after, name(item)).is_none());
-    let gone = gone.map(|item| format!("{kind} {}: removed", name(item)));
+    let removed_items = before.iter().filter(|item| find(after, name(item)).is_none());
+    let removed_items = removed_items.map(|item| format!("{kind} {}: removed", name(item)));
     let rest = after.iter().filter_map(|item| match find(before, name(item)) {
         None => Some(format!("{kind} {}: added", name(item))),
-        Some(at) if before[at] != *item => Some(format!("{kind} {}: changed", name(item))),
+        Some(index) if before[index] != *item => Some(format!("{kind} {}: changed", name(item))),
         Some(_) => None,
     });
-    gone.chain(rest).collect()
+    removed_items.chain(rest).collect()
 }
 
 fn deployment_diff(before: &Deployment, after: &Deployment) -> Vec<String> {
--- a/crates/placement/tests/allocation.rs
+++ b/crates/placement/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! Dividing replicas among fabric domains, and the plan an operator sees.
+//! Allocation of replicas to fabric domains, and operators' plans.
 
 mod support;
 
@@ -34,12 +34,12 @@
     deployment
 }
 
-fn of(shares: &[Share], deployment: &str, domain: &str) -> u32 {
-    let is_it = |s: &&Share| s.deployment.as_str() == deployment && s.domain.as_str() == domain;
-    shares.iter().find(is_it).map_or(0, |share| share.replicas)
+fn replicas_of(shares: &[Share], deployment: &str, domain: &str) -> u32 {
+    let is_match = |s: &&Share| s.deployment.as_str() == deployment && s.domain.as_str() == domain;
+    shares.iter().find(is_match).map_or(0, |share| share.replicas)
 }
 
-/// Each share as it would look once its domain has formed it.
+/// Returns placements in which every share serves.
 fn formed(shares: &[Share]) -> Vec<DomainPlacement> {
     let mut placements: Vec<DomainPlacement> = three_domains()
         .into_iter()
@@ -67,75 +67,77 @@
     let intent = intent(vec![with_replicas(deployment("draft", 4, 5), 7)]);
     let shares = allocate(&intent, &three_domains(), &[], &[]);
     assert_eq!(
-        [of(&shares, "draft", "a"), of(&shares, "draft", "b"), of(&shares, "draft", "c")],
+        [
+            replicas_of(&shares, "draft", "a"),
+            replicas_of(&shares, "draft", "b"),
+            replicas_of(&shares, "draft", "c")
+        ],
         [3, 2, 2]
     );
 }
 
 #[test]
-fn allocate_keeps_what_stands() {
+fn allocate_keeps_current_replicas() {
     let small = intent(vec![with_replicas(deployment("draft", 4, 5), 6)]);
     let shares = allocate(&small, &three_domains(), &[], &[]);
     let mut domains = three_domains();
     domains[0].vms = 19;
     domains.push(capacity("d", "dc-1", 40));
-    assert_eq!(allocate(&small, &domains, &shares, &[]), shares, "a new domain moves nothing");
+    assert_eq!(allocate(&small, &domains, &shares, &[]), shares, "a new domain moves no replica");
     domains[0].vms = 4;
     let moved = allocate(&small, &domains, &shares, &[]);
-    assert_eq!([of(&moved, "draft", "a"), of(&moved, "draft", "d")], [1, 1]);
+    assert_eq!([replicas_of(&moved, "draft", "a"), replicas_of(&moved, "draft", "d")], [1, 1]);
 }
 
 #[test]
-fn allocate_short_takes_from_lower_priority() {
+fn allocate_preempts_lower_priority() {
     let low = with_replicas(deployment("low", 4, 1), 12);
     let before = allocate(&intent(vec![low.clone()]), &three_domains(), &[], &[]);
     let high = with_replicas(deployment("high", 4, 9), 5);
     let both = intent(vec![low, high]);
     let shares = allocate(&both, &three_domains(), &before, &[]);
-    let total = |name| ["a", "b", "c"].map(|domain| of(&shares, name, domain)).iter().sum::<u32>();
+    let total =
+        |name| ["a", "b", "c"].map(|domain| replicas_of(&shares, name, domain)).iter().sum::<u32>();
     assert_eq!((total("high"), total("low")), (5, 10));
     assert_eq!(replicas_unplaced(&both, &shares), 2);
 }
 
-/// A new version across a deployment with one replica in each domain. If every domain changed at
-/// once the model would be gone. Domains change one after the other, each after the one before it
-/// serves.
+/// A new version must not stop the replicas of all domains at once: each domain changes after the
+/// one before it serves.
 #[test]
-fn version_reaches_one_domain_after_the_other() {
+fn version_rolls_out_one_domain_at_a_time() {
     let mut intent = intent(vec![with_replicas(deployment("draft", 4, 5), 3)]);
     let mut shares = allocate(&intent, &three_domains(), &[], &[]);
     intent.deployments[0].version = ModelVersion::new("2");
     let with_new = |shares: &[Share]| shares.iter().filter(|s| s.version.as_str() == "2").count();
     let mut placements = formed(&shares);
-    for turn in 1..=3 {
+    for round in 1..=3 {
         shares = allocate(&intent, &three_domains(), &shares, &placements);
-        assert_eq!(with_new(&shares), turn);
+        assert_eq!(with_new(&shares), round);
         let waiting = allocate(&intent, &three_domains(), &shares, &placements);
-        assert_eq!(with_new(&waiting), turn, "the domain has not changed yet");
+        assert_eq!(with_new(&waiting), round, "waits until the changed domain serves");
         placements = formed(&shares);
     }
 }
 
-/// Six VMs, and wanted are one replica of six and five of one, all of one priority. Five small ones
-/// leave one replica missing and a VM idle; the large one leaves five missing and no VM idle. Which
-/// costs less depends on the users' weights (those of the example intents).
+/// With six VMs, five small replicas leave a VM idle, and one large replica leaves five missing. The
+/// weights must decide between the two.
 #[test]
-fn allocate_packs_by_the_users_weights() {
+fn allocate_order_follows_weights() {
     let placed = |group_downtime_weight, stranded_accelerator_weight| {
         let large = with_replicas(deployment("large", 6, 5), 1);
         let small = with_replicas(deployment("small", 1, 5), 5);
         let objective = Objective { group_downtime_weight, stranded_accelerator_weight };
         let intent = Intent { objective, ..intent(vec![large, small]) };
         let shares = allocate(&intent, &[capacity("a", "dc-1", 6)], &[], &[]);
-        (of(&shares, "large", "a"), of(&shares, "small", "a"))
+        (replicas_of(&shares, "large", "a"), replicas_of(&shares, "small", "a"))
     };
-    assert_eq!(placed(5.0, 1.0), (0, 5), "Riga's weights");
-    assert_eq!(placed(1.0, 4.0), (1, 0), "Brackenfield's weights");
+    assert_eq!(placed(5.0, 1.0), (0, 5), "weights that favour downtime");
+    assert_eq!(placed(1.0, 4.0), (1, 0), "weights that favour accelerators");
 }
 
-/// Fewer replicas of a new version in one change. If the surplus stopped first, the rolling change
-/// would take another of the few that are left: callers of a deployment with two wanted replicas
-/// would find one. The surplus serves on until the wanted ones have changed.
+/// A change to fewer replicas of a new version must keep the surplus until the rollout completes.
+/// Otherwise the rollout would run below the wanted number.
 #[test]
 fn version_change_to_fewer_replicas_keeps_surplus_until_changed() {
     let mut intent = intent(vec![with_replicas(deployment("draft", 4, 5), 5)]);
@@ -149,17 +151,17 @@
         shares = allocate(&intent, &three_domains(), &shares, &placements);
         let new = shares.iter().filter(|share| share.version.as_str() == "2");
         let new: u32 = new.map(|share| share.replicas).sum();
-        assert!(total(&shares) == 5 || new == 4, "stopped before the others had changed");
+        assert!(total(&shares) == 5 || new == 4, "surplus stopped before the rollout completed");
         placements = formed(&shares);
         rounds += 1;
         assert!(rounds < 10);
     }
-    assert!(rounds > 2, "it went one domain after the other");
-    assert_eq!(shares.len(), 2, "the domain of the old version gave its replica up");
+    assert!(rounds > 2, "changed one domain at a time");
+    assert_eq!(shares.len(), 2, "the domain with the old version has no share left");
 }
 
 #[test]
-fn plan_says_what_stops_and_for_whom() {
+fn make_plan_lists_stopped_replicas_and_users() {
     let before = intent(vec![
         with_replicas(deployment("draft", 4, 5), 3),
         with_replicas(deployment("old", 4, 1), 3),
@@ -180,7 +182,7 @@
     let has = |start: &str| lines.iter().filter(|line| line.starts_with(start)).count();
     assert_eq!(has("stop draft-"), 1);
     assert_eq!(has("replace draft-"), 2);
-    assert_eq!(has("stop old-"), 3, "the higher priority takes its room");
+    assert_eq!(has("stop old-"), 3, "preempted by the higher priority");
     assert!(lines.iter().any(|line| line.ends_with("used by roofers")));
     assert_eq!(has("no room for"), 2);
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One fabric domain with small fake engines, in virtual time.
+//! A fabric domain with fake engines, in virtual time.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -17,24 +17,24 @@
 
 pub const STEP_MS: u64 = 250;
 pub const LOAD_MS: u64 = 20_000;
-/// Weights of one VM when the store has a rate.
+/// Weights that each VM loads if the weights store has a rate.
 pub const WEIGHTS_BYTES: f64 = 100.0e9;
 
-/// An engine that loads, joins, drains and forgets.
+/// A fake engine that executes orders.
 #[derive(Clone, Debug)]
 pub struct FakeEngine {
     pub boot: Boot,
     pub formation: Option<Formation>,
     pub loaded: Option<ModelVersion>,
     pub ready_at: TimeMs,
-    /// Bytes still to be loaded when the weights store has a rate.
+    /// Bytes left to load if the weights store has a rate.
     pub missing_bytes: f64,
     pub running: u32,
     pub silent: bool,
     pub listed: bool,
 }
 
-/// The domain, its planner and its clock.
+/// A fabric domain with its planner and clock.
 #[derive(Debug)]
 pub struct FakeDomain {
     pub now: TimeMs,
@@ -45,20 +45,20 @@
     pub engines: BTreeMap<VmName, FakeEngine>,
     pub wanted: Vec<WantedDeployment>,
     pub objective: Objective,
-    /// Summed over deployments: wanted replicas that were not whole, in milliseconds.
+    /// By deployment: number of wanted replicas that were not whole, times milliseconds.
     pub downtime_ms: BTreeMap<DeploymentName, u64>,
     /// Accelerators not in a whole replica, times milliseconds.
     pub stranded_accelerator_ms: u64,
-    /// Members whose last poll has not ended yet.
-    pub slow_polls: BTreeSet<VmName>,
-    /// Rate of the weights store, shared by all loads; without one each load takes `LOAD_MS`.
+    /// Members whose last poll has not completed.
+    pub pending_polls: BTreeSet<VmName>,
+    /// Rate of the weights store, shared by all loads; if `None`, each load takes `LOAD_MS`.
     pub weights_bytes_per_ms: Option<f64>,
-    /// What one VM can load at most.
+    /// Maximum rate of one VM.
     pub vm_bytes_per_ms: f64,
-    /// Formations begun.
+    /// Number of restarted formations.
     pub formations: u64,
-    /// Whether planned steps took a replica with running requests away.
-    pub cut_off: u32,
+    /// Number of whole replicas that a step stopped or formed again while requests were running.
+    pub interrupted_replicas: u32,
 }
 
 pub fn deployment(name: &str, vms_per_replica: u32, priority: u8) -> Deployment {
@@ -113,11 +113,11 @@
             objective,
             downtime_ms: BTreeMap::new(),
             stranded_accelerator_ms: 0,
-            slow_polls: BTreeSet::new(),
+            pending_polls: BTreeSet::new(),
             weights_bytes_per_ms: None,
             vm_bytes_per_ms: f64::INFINITY,
             formations: 0,
-            cut_off: 0,
+            interrupted_replicas: 0,
         }
     }
 
@@ -142,20 +142,20 @@
         }
     }
 
-    pub fn run_until(&mut self, what: &str, mut is_so: impl FnMut(&Self) -> bool) -> u64 {
+    pub fn run_until(&mut self, what: &str, mut condition: impl FnMut(&Self) -> bool) -> u64 {
         let from = self.now;
-        while !is_so(self) {
+        while !condition(self) {
             self.step();
-            assert!(self.now.since(from) < 3_600_000, "never: {what}\n{:#?}", self.placement);
+            assert!(self.now.since(from) < 3_600_000, "not reached: {what}\n{:#?}", self.placement);
         }
         self.now.since(from)
     }
 
     pub fn step(&mut self) {
         self.now = self.now.after(STEP_MS);
-        self.load();
-        self.join();
-        self.poll();
+        self.advance_loads();
+        self.complete_joins();
+        self.poll_members();
         let view = DomainView {
             placement: &self.placement,
             vms: &self.vms,
@@ -163,24 +163,24 @@
             objective: self.objective,
         };
         let next = self.planner.revise(self.now, view);
-        let due = orders(self.now, &self.settings, view);
-        for order in due {
+        let due_orders = orders(self.now, &self.settings, view);
+        for order in due_orders {
             if self.engines[&order.vm].listed && !self.engines[&order.vm].silent {
-                self.carry_out(&order.vm, &order.kind);
+                self.execute(&order.vm, &order.kind);
             }
         }
         if let Some(next) = next {
-            self.check(&next);
+            self.check_step(&next);
             self.placement = next;
         }
-        self.count();
+        self.record_costs();
     }
 
-    fn poll(&mut self) {
+    fn poll_members(&mut self) {
         for (name, engine) in &self.engines {
             let state = self.vms.get_mut(name).expect("known");
             state.listed = engine.listed;
-            if self.slow_polls.contains(name) {
+            if self.pending_polls.contains(name) {
                 continue;
             }
             if engine.silent || !engine.listed {
@@ -205,7 +205,7 @@
         }
     }
 
-    pub fn carry_out(&mut self, vm: &VmName, kind: &OrderKind) {
+    pub fn execute(&mut self, vm: &VmName, kind: &OrderKind) {
         let now = self.now;
         let engine = self.engines.get_mut(vm).expect("known");
         match kind {
@@ -236,18 +236,18 @@
         }
     }
 
-    /// Shares the weights store's rate among all that load.
-    fn load(&mut self) {
+    /// Divides the rate of the weights store among the engines that are loading.
+    fn advance_loads(&mut self) {
         let Some(rate) = self.weights_bytes_per_ms else { return };
-        let loads = |e: &&mut FakeEngine| e.missing_bytes > 0.0 && !e.silent && e.listed;
-        let count = self.engines.values_mut().filter(loads).count().max(1);
-        let part = (rate / count as f64).min(self.vm_bytes_per_ms) * STEP_MS as f64;
-        for engine in self.engines.values_mut().filter(loads) {
-            engine.missing_bytes = (engine.missing_bytes - part).max(0.0);
+        let is_loading = |e: &&mut FakeEngine| e.missing_bytes > 0.0 && !e.silent && e.listed;
+        let count = self.engines.values_mut().filter(is_loading).count().max(1);
+        let bytes_per_step = (rate / count as f64).min(self.vm_bytes_per_ms) * STEP_MS as f64;
+        for engine in self.engines.values_mut().filter(is_loading) {
+            engine.missing_bytes = (engine.missing_bytes - bytes_per_step).max(0.0);
         }
     }
 
-    /// A new process at the same address, with empty memory.
+    /// Restarts an engine at the same address, with empty memory.
     pub fn restart(&mut self, vm: &VmName) {
         let engine = self.engines.get_mut(vm).expect("known");
         engine.boot = engine.boot.next();
@@ -258,8 +258,8 @@
         engine.silent = false;
     }
 
-    /// Members of one formation that have loaded meet one another.
-    fn join(&mut self) {
+    /// Completes formations whose members have all loaded.
+    fn complete_joins(&mut self) {
         for replica in self.placement.replicas.clone() {
             let ready = replica.vms.iter().all(|vm| {
                 let engine = &self.engines[vm];
@@ -269,7 +269,7 @@
                     && engine.missing_bytes <= 0.0
                     && is_in(engine, &replica)
             });
-            self.notice_missing(&replica);
+            self.detect_lost_members(&replica);
             let boots: Vec<Boot> = replica.vms.iter().map(|vm| self.engines[vm].boot).collect();
             for vm in replica.vms.iter().filter(|_| ready) {
                 let formation = self.engines.get_mut(vm).and_then(|e| e.formation.as_mut());
@@ -282,10 +282,10 @@
         }
     }
 
-    /// Members notice by themselves that one is gone; only a new formation mends that.
-    fn notice_missing(&mut self, replica: &Replica) {
-        let is_gone = |engine: &FakeEngine| engine.silent || !engine.listed;
-        if replica.vms.iter().any(|vm| is_gone(&self.engines[vm])) {
+    /// Marks members as not ready if another member is unreachable.
+    fn detect_lost_members(&mut self, replica: &Replica) {
+        let is_unreachable = |engine: &FakeEngine| engine.silent || !engine.listed;
+        if replica.vms.iter().any(|vm| is_unreachable(&self.engines[vm])) {
             for vm in &replica.vms {
                 let engine = self.engines.get_mut(vm).expect("known");
                 if let Some(formation) =
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Whether its members, by themselves, are one whole formation.
+    /// Whether all members are reachable and ready in the current formation, with matching boots.
     pub fn is_whole(&self, replica: &Replica) -> bool {
         let boots: Vec<Boot> = replica.vms.iter().map(|vm| self.engines[vm].boot).collect();
         replica.vms.iter().all(|vm| {
@@ -311,16 +311,18 @@
     }
 
     pub fn serving(&self, deployment: &str) -> usize {
-        let of = self.placement.replicas.iter().filter(|r| r.deployment.as_str() == deployment);
-        of.filter(|r| r.phase == ReplicaPhase::Serving && self.is_whole(r)).count()
+        let matching =
+            self.placement.replicas.iter().filter(|r| r.deployment.as_str() == deployment);
+        matching.filter(|r| r.phase == ReplicaPhase::Serving && self.is_whole(r)).count()
     }
 
     pub fn in_phase(&self, deployment: &str, phase: ReplicaPhase) -> usize {
-        let of = self.placement.replicas.iter().filter(|r| r.deployment.as_str() == deployment);
-        of.filter(|r| r.phase == phase).count()
+        let matching =
+            self.placement.replicas.iter().filter(|r| r.deployment.as_str() == deployment);
+        matching.filter(|r| r.phase == phase).count()
     }
 
-    /// The users' objective over what was counted: downtime by worth, and idle accelerators.
+    /// Returns the weighted cost of the recorded downtime and stranded accelerators.
     pub fn cost(&self) -> f64 {
         let worth = |name: &DeploymentName| {
             let wanted = self.wanted.iter().find(|wanted| wanted.deployment.name == *name);
@@ -333,14 +335,14 @@
             + self.objective.stranded_accelerator_weight * stranded
     }
 
-    /// Begins to count anew.
+    /// Resets the recorded costs.
     pub fn reset_counts(&mut self) {
         self.downtime_ms.clear();
         self.stranded_accelerator_ms = 0;
         self.formations = 0;
     }
 
-    fn count(&mut self) {
+    fn record_costs(&mut self) {
         for wanted in &self.wanted {
             let name = wanted.deployment.name.clone();
             let missing = (wanted.replicas as usize).saturating_sub(self.serving(name.as_str()));
@@ -353,26 +355,26 @@
             .filter(|r| r.phase == ReplicaPhase::Serving && self.is_whole(r))
             .map(|r| r.vms.len())
             .sum();
-        let held = self.engines.values().filter(|e| e.listed && !e.silent).count();
-        self.stranded_accelerator_ms += (held - useful.min(held)) as u64 * 4 * STEP_MS;
+        let available = self.engines.values().filter(|e| e.listed && !e.silent).count();
+        self.stranded_accelerator_ms += (available - useful.min(available)) as u64 * 4 * STEP_MS;
     }
 
-    /// What must hold of each step: no VM twice, and no running request taken away by choice.
-    fn check(&mut self, next: &DomainPlacement) {
-        let mut seen: Vec<&VmName> = next.replicas.iter().flat_map(|r| &r.vms).collect();
-        seen.extend(next.releasing.iter().map(|r| &r.vm));
-        let count = seen.len();
-        seen.sort();
-        seen.dedup();
-        assert_eq!(seen.len(), count, "a VM stands twice: {next:#?}");
+    /// Asserts that no VM is placed twice, and counts interrupted replicas and new formations.
+    fn check_step(&mut self, next: &DomainPlacement) {
+        let mut vms_in_use: Vec<&VmName> = next.replicas.iter().flat_map(|r| &r.vms).collect();
+        vms_in_use.extend(next.releasing.iter().map(|r| &r.vm));
+        let count = vms_in_use.len();
+        vms_in_use.sort();
+        vms_in_use.dedup();
+        assert_eq!(vms_in_use.len(), count, "a VM is placed twice: {next:#?}");
         for before in &self.placement.replicas {
             let after = next.replicas.iter().find(|r| r.name == before.name);
-            let goes_on = after.is_some_and(|after| after.generation == before.generation);
-            let runs = before.vms.iter().any(|vm| self.engines[vm].running > 0);
-            if !goes_on && runs && self.is_whole(before) {
-                self.cut_off += 1;
+            let continues = after.is_some_and(|after| after.generation == before.generation);
+            let has_running_requests = before.vms.iter().any(|vm| self.engines[vm].running > 0);
+            if !continues && has_running_requests && self.is_whole(before) {
+                self.interrupted_replicas += 1;
             }
-            self.formations += u64::from(!goes_on && after.is_some());
+            self.formations += u64::from(!continues && after.is_some());
         }
     }
 }
