--- a/crates/node/src/entry/observers.rs
+++ b/crates/node/src/entry/observers.rs
@@ -180,7 +180,7 @@
 fn observation(target: &Target, now: TimeMs, report_life_ms: u64) -> Option<ReplicaObservation> {
     let Serving::Replica { agreement, .. } = &target.serving else { return None };
     let (replica, generation) = target.formation()?;
-    let until = agreement.judge(now).until();
+    let until = agreement.evaluate(now).until();
     let age_ms = until.map_or(0, |until| report_life_ms.saturating_sub(until.since(now)));
     let load = target.load.map(|(at, load)| ObservedLoad {
         age_ms: now.since(at).saturating_add(load.age_ms),
--- a/crates/node/src/entry/observing/target.rs
+++ b/crates/node/src/entry/observing/target.rs
@@ -4,7 +4,7 @@
 use celeryhaven_types::{
     DataCentreName, Generation, MemberReport, ReplicaName, ReplicaPhase, TimeMs, VmName,
 };
-use celeryhaven_wholeness::{Agreement, Flaw, Judgement};
+use celeryhaven_wholeness::{Agreement, Assessment, NotWholeReason};
 
 use crate::entry::ObservedLoad;
 use crate::entry::observing::RemoteSeen;
@@ -92,7 +92,7 @@
         }
         match &self.serving {
             Serving::Replica { phase: ReplicaPhase::Serving, agreement, .. } => {
-                let own = agreement.judge(now).until();
+                let own = agreement.evaluate(now).until();
                 let remote = self.remote.until(now, report_life_ms);
                 // What this node sees itself goes before what others saw.
                 if self.is_observer { own } else { own.max(remote) }
@@ -133,7 +133,7 @@
         report: &MemberReport,
     ) -> Option<TargetLoad> {
         match &mut self.serving {
-            Serving::Replica { agreement, .. } => agreement.report(asked_at, report),
+            Serving::Replica { agreement, .. } => agreement.apply_report(asked_at, report),
             Serving::Plain { seen_at, .. } => *seen_at = (*seen_at).max(Some(asked_at)),
         }
         if self.front() != Some(&report.vm) {
@@ -154,18 +154,18 @@
     /// Forgets what a member reported: it did not answer, or a request to it failed.
     pub(crate) fn forget(&mut self, vm: &VmName) {
         match &mut self.serving {
-            Serving::Replica { agreement, .. } => agreement.forget(vm),
+            Serving::Replica { agreement, .. } => agreement.discard_report(vm),
             Serving::Plain { vm: own, seen_at, .. } if own == vm => *seen_at = None,
             Serving::Plain { .. } => {}
         }
     }
 
     /// What stands against it as a replica, if it is one and not whole.
-    pub(crate) fn flaw(&self, now: TimeMs) -> Option<Flaw> {
+    pub(crate) fn flaw(&self, now: TimeMs) -> Option<NotWholeReason> {
         let Serving::Replica { agreement, .. } = &self.serving else { return None };
-        match agreement.judge(now) {
-            Judgement::Whole { .. } => None,
-            Judgement::Broken { flaw, .. } => Some(flaw),
+        match agreement.evaluate(now) {
+            Assessment::Whole { .. } => None,
+            Assessment::NotWhole { reason, .. } => Some(reason),
         }
     }
 
--- a/crates/node/src/entry/surface/status.rs
+++ b/crates/node/src/entry/surface/status.rs
@@ -1,6 +1,6 @@
 use celeryhaven_derives::state;
 use celeryhaven_types::{ConfigNumber, Generation, ReplicaName};
-use celeryhaven_wholeness::Flaw;
+use celeryhaven_wholeness::NotWholeReason;
 
 state! {
     /// Figures of one node at one moment, for metrics and logs.
@@ -28,6 +28,6 @@
         /// Whether it may take requests.
         pub is_up: bool,
         /// What stands against its wholeness, if anything.
-        pub flaw: Option<Flaw>,
+        pub flaw: Option<NotWholeReason>,
     }
 }
--- a/crates/placement/src/domain/draft.rs
+++ b/crates/placement/src/domain/draft.rs
@@ -131,9 +131,9 @@
             Agreement::new(replica.name.clone(), replica.generation, replica.vms.clone(), life_ms);
         let states = replica.vms.iter().filter_map(|vm| self.view.vms.get(vm));
         for timed in states.filter_map(|state| state.fresh_report(self.now, life_ms)) {
-            agreement.report(timed.polled_at, &timed.report);
+            agreement.apply_report(timed.polled_at, &timed.report);
         }
-        agreement.judge(self.now).is_whole()
+        agreement.evaluate(self.now).is_whole()
     }
 
     pub(crate) fn member_state(&self, replica: &Replica, vm: &VmName) -> MemberState {
--- a/crates/wholeness/examples/restarted_member.rs
+++ b/crates/wholeness/examples/restarted_member.rs
@@ -33,9 +33,9 @@
     let members = vec![VmName::new("vm-1"), VmName::new("vm-2")];
     let replica = ReplicaName::new("draft-1");
     let mut agreement = Agreement::new(replica, Generation::new(1), members, 1_500);
-    agreement.report(TimeMs::new(0), &report("vm-1", 10));
-    agreement.report(TimeMs::new(0), &report("vm-2", 20));
-    println!("both report: {:?}", agreement.judge(TimeMs::new(100)));
-    agreement.report(TimeMs::new(500), &report("vm-2", 21));
-    println!("vm-2 restarted: {:?}", agreement.judge(TimeMs::new(500)));
+    agreement.apply_report(TimeMs::new(0), &report("vm-1", 10));
+    agreement.apply_report(TimeMs::new(0), &report("vm-2", 20));
+    println!("both report: {:?}", agreement.evaluate(TimeMs::new(100)));
+    agreement.apply_report(TimeMs::new(500), &report("vm-2", 21));
+    println!("vm-2 restarted: {:?}", agreement.evaluate(TimeMs::new(500)));
 }
--- a/crates/wholeness/src/agreement/judgement.rs
+++ b/crates/wholeness/src/agreement/assessment.rs
@@ -4,7 +4,7 @@
 state! {
     /// Whether a replica is whole, and until when that holds without further reports.
     #[derive(Eq)]
-    pub enum Judgement {
+    pub enum Assessment {
         /// Fresh reports of every member agree.
         Whole {
             /// Boot of every member in rank order.
@@ -13,31 +13,31 @@
             until: TimeMs,
         },
         /// The replica may take no request.
-        Broken {
+        NotWhole {
             /// The first member in rank order that stands against it.
             vm: VmName,
             /// What is wrong with it.
-            flaw: Flaw,
+            reason: NotWholeReason,
         },
     }
 
     /// What stands against a member.
     #[derive(Copy, Eq, Hash)]
-    pub enum Flaw {
+    pub enum NotWholeReason {
         /// No report since the last failure, or none at all.
-        Missing,
+        NoReport,
         /// The last report is older than a report may be.
-        Old,
+        ReportExpired,
         /// It reports no formation, or another replica or generation.
-        Elsewhere,
+        OtherFormation,
         /// It has not loaded or joined yet.
-        Joining,
+        NotReady,
         /// Its boots of the members differ from what the members report.
-        OtherBoots,
+        BootMismatch,
     }
 }
 
-impl Judgement {
+impl Assessment {
     /// Whether the replica is whole.
     pub const fn is_whole(&self) -> bool {
         matches!(self, Self::Whole { .. })
@@ -47,7 +47,7 @@
     pub const fn until(&self) -> Option<TimeMs> {
         match self {
             Self::Whole { until, .. } => Some(*until),
-            Self::Broken { .. } => None,
+            Self::NotWhole { .. } => None,
         }
     }
 }
--- a/crates/wholeness/src/agreement/mod.rs
+++ b/crates/wholeness/src/agreement/mod.rs
@@ -1,7 +1,7 @@
 //! The reports of one replica's members and the judgement on them.
 
-mod judgement;
+mod assessment;
 mod reports;
 
-pub use judgement::{Flaw, Judgement};
+pub use assessment::{Assessment, NotWholeReason};
 pub use reports::Agreement;
--- a/crates/wholeness/src/agreement/reports.rs
+++ b/crates/wholeness/src/agreement/reports.rs
@@ -1,6 +1,6 @@
 use celeryhaven_types::{Boot, Formation, Generation, MemberReport, ReplicaName, TimeMs, VmName};
 
-use crate::agreement::{Flaw, Judgement};
+use crate::agreement::{Assessment, NotWholeReason};
 
 /// What is known of the members of one formation of a replica.
 ///
@@ -18,7 +18,7 @@
 /// let members = vec![VmName::new("vm-1"), VmName::new("vm-2")];
 /// let replica = ReplicaName::new("draft-1");
 /// let agreement = Agreement::new(replica, Generation::new(1), members, 1_500);
-/// assert!(!agreement.judge(TimeMs::new(0)).is_whole());
+/// assert!(!agreement.evaluate(TimeMs::new(0)).is_whole());
 /// ```
 #[derive(Clone, Debug)]
 pub struct Agreement {
@@ -31,12 +31,12 @@
 #[derive(Clone, Debug)]
 struct Member {
     vm: VmName,
-    seen: Option<Seen>,
+    last_report: Option<TimedReport>,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
-    asked_at: TimeMs,
+struct TimedReport {
+    polled_at: TimeMs,
     boot: Boot,
     formation: Option<Formation>,
 }
@@ -49,57 +49,63 @@
         members: Vec<VmName>,
         report_life_ms: u64,
     ) -> Self {
-        let members = members.into_iter().map(|vm| Member { vm, seen: None }).collect();
+        let members = members.into_iter().map(|vm| Member { vm, last_report: None }).collect();
         Self { replica, generation, report_life_ms, members }
     }
 
     /// Takes a member's report that was asked for at `asked_at`; an older one than known is dropped.
-    pub fn report(&mut self, asked_at: TimeMs, report: &MemberReport) {
+    pub fn apply_report(&mut self, polled_at: TimeMs, report: &MemberReport) {
         let Some(member) = self.member_mut(&report.vm) else { return };
-        if member.seen.as_ref().is_some_and(|seen| seen.asked_at > asked_at) {
+        if member.last_report.as_ref().is_some_and(|last_report| last_report.polled_at > polled_at)
+        {
             return;
         }
         let formation = report.formation.clone();
-        member.seen = Some(Seen { asked_at, boot: report.boot, formation });
+        member.last_report = Some(TimedReport { polled_at, boot: report.boot, formation });
     }
 
     /// Forgets a member's report: it did not answer, or a request to it failed.
-    pub fn forget(&mut self, vm: &VmName) {
+    pub fn discard_report(&mut self, vm: &VmName) {
         if let Some(member) = self.member_mut(vm) {
-            member.seen = None;
+            member.last_report = None;
         }
     }
 
     /// Judges the reports as of `now`.
-    pub fn judge(&self, now: TimeMs) -> Judgement {
-        let broken = |vm: &VmName, flaw| Judgement::Broken { vm: vm.clone(), flaw };
+    pub fn evaluate(&self, now: TimeMs) -> Assessment {
+        let not_whole = |vm: &VmName, reason| Assessment::NotWhole { vm: vm.clone(), reason };
         let mut boots = Vec::with_capacity(self.members.len());
         let mut until = TimeMs::new(u64::MAX);
         for member in &self.members {
-            let Some(seen) = &member.seen else { return broken(&member.vm, Flaw::Missing) };
-            let expires = seen.asked_at.after(self.report_life_ms);
+            let Some(last_report) = &member.last_report else {
+                return not_whole(&member.vm, NotWholeReason::NoReport);
+            };
+            let expires = last_report.polled_at.after(self.report_life_ms);
             if expires <= now {
-                return broken(&member.vm, Flaw::Old);
+                return not_whole(&member.vm, NotWholeReason::ReportExpired);
             }
             until = until.min(expires);
-            boots.push(seen.boot);
+            boots.push(last_report.boot);
         }
-        match self.members.iter().find_map(|member| Some((&member.vm, self.flaw(member, &boots)?)))
+        match self
+            .members
+            .iter()
+            .find_map(|member| Some((&member.vm, self.reason(member, &boots)?)))
         {
-            Some((vm, flaw)) => broken(vm, flaw),
-            None => Judgement::Whole { boots, until },
+            Some((vm, reason)) => not_whole(vm, reason),
+            None => Assessment::Whole { boots, until },
         }
     }
 
-    fn flaw(&self, member: &Member, boots: &[Boot]) -> Option<Flaw> {
-        let formation = member.seen.as_ref()?.formation.as_ref();
-        let Some(formation) = formation else { return Some(Flaw::Elsewhere) };
+    fn reason(&self, member: &Member, boots: &[Boot]) -> Option<NotWholeReason> {
+        let formation = member.last_report.as_ref()?.formation.as_ref();
+        let Some(formation) = formation else { return Some(NotWholeReason::OtherFormation) };
         if formation.replica != self.replica || formation.generation != self.generation {
-            Some(Flaw::Elsewhere)
+            Some(NotWholeReason::OtherFormation)
         } else if !formation.ready {
-            Some(Flaw::Joining)
+            Some(NotWholeReason::NotReady)
         } else if formation.member_boots != boots {
-            Some(Flaw::OtherBoots)
+            Some(NotWholeReason::BootMismatch)
         } else {
             None
         }
--- a/crates/wholeness/src/lib.rs
+++ b/crates/wholeness/src/lib.rs
@@ -12,4 +12,4 @@
 
 pub mod agreement;
 
-pub use agreement::{Agreement, Flaw, Judgement};
+pub use agreement::{Agreement, Assessment, NotWholeReason};
--- a/crates/wholeness/tests/agreement.rs
+++ b/crates/wholeness/tests/agreement.rs
@@ -3,7 +3,7 @@
 use celeryhaven_types::{
     Boot, Fence, Formation, Generation, MemberReport, ModelVersion, ReplicaName, TimeMs, VmName,
 };
-use celeryhaven_wholeness::{Agreement, Flaw, Judgement};
+use celeryhaven_wholeness::{Agreement, Assessment, NotWholeReason};
 
 const REPORT_LIFE_MS: u64 = 1_000;
 
@@ -36,34 +36,34 @@
     }
 }
 
-fn flaw(agreement: &Agreement, now: u64) -> Option<(String, Flaw)> {
-    match agreement.judge(TimeMs::new(now)) {
-        Judgement::Whole { .. } => None,
-        Judgement::Broken { vm, flaw } => Some((vm.to_string(), flaw)),
+fn reason(agreement: &Agreement, now: u64) -> Option<(String, NotWholeReason)> {
+    match agreement.evaluate(TimeMs::new(now)) {
+        Assessment::Whole { .. } => None,
+        Assessment::NotWhole { vm, reason } => Some((vm.to_string(), reason)),
     }
 }
 
 fn whole_at(at: u64) -> Agreement {
     let mut agreement = agreement();
-    agreement.report(TimeMs::new(at), &report("a", 1, 3, [1, 2]));
-    agreement.report(TimeMs::new(at), &report("b", 2, 3, [1, 2]));
-    assert_eq!(flaw(&agreement, at), None);
+    agreement.apply_report(TimeMs::new(at), &report("a", 1, 3, [1, 2]));
+    agreement.apply_report(TimeMs::new(at), &report("b", 2, 3, [1, 2]));
+    assert_eq!(reason(&agreement, at), None);
     agreement
 }
 
 #[test]
 fn judge_one_member_silent() {
     let mut agreement = agreement();
-    agreement.report(TimeMs::new(0), &report("a", 1, 3, [1, 2]));
-    assert_eq!(flaw(&agreement, 0), Some(("b".into(), Flaw::Missing)));
+    agreement.apply_report(TimeMs::new(0), &report("a", 1, 3, [1, 2]));
+    assert_eq!(reason(&agreement, 0), Some(("b".into(), NotWholeReason::NoReport)));
 }
 
 #[test]
 fn judge_report_old() {
     let mut agreement = whole_at(0);
-    agreement.report(TimeMs::new(900), &report("a", 1, 3, [1, 2]));
-    assert_eq!(flaw(&agreement, 999), None);
-    assert_eq!(flaw(&agreement, 1_000), Some(("b".into(), Flaw::Old)));
+    agreement.apply_report(TimeMs::new(900), &report("a", 1, 3, [1, 2]));
+    assert_eq!(reason(&agreement, 999), None);
+    assert_eq!(reason(&agreement, 1_000), Some(("b".into(), NotWholeReason::ReportExpired)));
 }
 
 #[test]
@@ -71,8 +71,8 @@
     // A member restarts at the same address and still claims its old formation. Its own boot is
     // new, so the boots that both report no longer match.
     let mut agreement = whole_at(0);
-    agreement.report(TimeMs::new(10), &report("b", 7, 3, [1, 2]));
-    assert_eq!(flaw(&agreement, 10), Some(("a".into(), Flaw::OtherBoots)));
+    agreement.apply_report(TimeMs::new(10), &report("b", 7, 3, [1, 2]));
+    assert_eq!(reason(&agreement, 10), Some(("a".into(), NotWholeReason::BootMismatch)));
 }
 
 #[test]
@@ -80,15 +80,15 @@
     let mut agreement = whole_at(0);
     let mut empty = report("b", 7, 3, [1, 2]);
     empty.formation = None;
-    agreement.report(TimeMs::new(10), &empty);
-    assert!(flaw(&agreement, 10).is_some());
+    agreement.apply_report(TimeMs::new(10), &empty);
+    assert!(reason(&agreement, 10).is_some());
 }
 
 #[test]
 fn judge_older_generation() {
     let mut agreement = whole_at(0);
-    agreement.report(TimeMs::new(10), &report("b", 2, 2, [1, 2]));
-    assert_eq!(flaw(&agreement, 10), Some(("b".into(), Flaw::Elsewhere)));
+    agreement.apply_report(TimeMs::new(10), &report("b", 2, 2, [1, 2]));
+    assert_eq!(reason(&agreement, 10), Some(("b".into(), NotWholeReason::OtherFormation)));
 }
 
 #[test]
@@ -96,14 +96,14 @@
     // Two polls of one member overlap and the earlier one's answer comes last: it may not hide what
     // the later one saw.
     let mut agreement = whole_at(0);
-    agreement.report(TimeMs::new(20), &report("b", 7, 3, [1, 2]));
-    agreement.report(TimeMs::new(10), &report("b", 2, 3, [1, 2]));
-    assert_eq!(flaw(&agreement, 20), Some(("a".into(), Flaw::OtherBoots)));
+    agreement.apply_report(TimeMs::new(20), &report("b", 7, 3, [1, 2]));
+    agreement.apply_report(TimeMs::new(10), &report("b", 2, 3, [1, 2]));
+    assert_eq!(reason(&agreement, 20), Some(("a".into(), NotWholeReason::BootMismatch)));
 }
 
 #[test]
 fn forget_makes_missing() {
     let mut agreement = whole_at(0);
-    agreement.forget(&VmName::new("a"));
-    assert_eq!(flaw(&agreement, 1), Some(("a".into(), Flaw::Missing)));
+    agreement.discard_report(&VmName::new("a"));
+    assert_eq!(reason(&agreement, 1), Some(("a".into(), NotWholeReason::NoReport)));
 }
