--- a/crates/wholeness/examples/restarted_member.rs
+++ b/crates/wholeness/examples/restarted_member.rs
@@ -1,4 +1,4 @@
-//! A member restarts at the same address with an empty memory, and the replica stops being whole.
+//! A member restarts at the same address with empty memory, and the replica is no longer whole.
 
 use celeryhaven_types::{
     Boot, Fence, Formation, Generation, MemberReport, ModelVersion, ReplicaName, TimeMs, VmName,
--- a/crates/wholeness/src/agreement/assessment.rs
+++ b/crates/wholeness/src/agreement/assessment.rs
@@ -2,37 +2,37 @@
 use celeryhaven_types::{Boot, TimeMs, VmName};
 
 state! {
-    /// Whether a replica is whole, and until when that holds without further reports.
+    /// Whether a replica is whole.
     #[derive(Eq)]
     pub enum Assessment {
-        /// Fresh reports of every member agree.
+        /// Fresh reports of all members agree.
         Whole {
-            /// Boot of every member in rank order.
+            /// Boots of all members in rank order.
             boots: Vec<Boot>,
-            /// When the oldest of these reports is too old.
+            /// When the oldest of the reports expires.
             until: TimeMs,
         },
         /// The replica may take no request.
         NotWhole {
-            /// The first member in rank order that stands against it.
+            /// The member that prevents it.
             vm: VmName,
-            /// What is wrong with it.
+            /// Why that member prevents it.
             reason: NotWholeReason,
         },
     }
 
-    /// What stands against a member.
+    /// Why a member prevents its replica from being whole.
     #[derive(Copy, Eq, Hash)]
     pub enum NotWholeReason {
-        /// No report since the last failure, or none at all.
+        /// It has not reported since its report was last discarded, if ever.
         NoReport,
-        /// The last report is older than a report may be.
+        /// Its last report has expired.
         ReportExpired,
         /// It reports no formation, or another replica or generation.
         OtherFormation,
-        /// It has not loaded or joined yet.
+        /// It reports that it is not ready.
         NotReady,
-        /// Its boots of the members differ from what the members report.
+        /// The boots that it joined with differ from those that the members report.
         BootMismatch,
     }
 }
@@ -43,7 +43,7 @@
         matches!(self, Self::Whole { .. })
     }
 
-    /// Until when the replica is whole without further reports; `None` if it is not whole.
+    /// Returns when the assessment expires without further reports; `None` if not whole.
     pub const fn until(&self) -> Option<TimeMs> {
         match self {
             Self::Whole { until, .. } => Some(*until),
--- a/crates/wholeness/src/agreement/mod.rs
+++ b/crates/wholeness/src/agreement/mod.rs
@@ -1,4 +1,4 @@
-//! The reports of one replica's members and the judgement on them.
+//! Reports of a replica's members and their assessment.
 
 mod assessment;
 mod reports;
--- a/crates/wholeness/src/agreement/reports.rs
+++ b/crates/wholeness/src/agreement/reports.rs
@@ -2,14 +2,13 @@
 
 use crate::agreement::{Assessment, NotWholeReason};
 
-/// What is known of the members of one formation of a replica.
+/// The reports of the members of one formation of a replica.
 ///
-/// Guards against members that return as if nothing had happened: a restarted engine answers at the
-/// same address with an empty memory and another boot, so the boots that the others joined with no
-/// longer match its own, even if it claims the same replica and generation.
+/// A restarted member answers at the same address with empty memory, and may claim the same replica
+/// and generation. It is detected because its boot differs from the one that the others joined with.
 ///
-/// The age of a report counts from the moment its poll was sent, not from its arrival: an answer
-/// that was on its way for long is as old as the question.
+/// The age of a report counts from when its poll was sent, so that a delayed answer is not taken for
+/// a fresh one.
 ///
 /// ```
 /// use celeryhaven_types::{Generation, ReplicaName, TimeMs, VmName};
@@ -42,7 +41,7 @@
 }
 
 impl Agreement {
-    /// Starts without any report; `members` are in rank order.
+    /// Creates an agreement without reports; `members` are in rank order.
     pub fn new(
         replica: ReplicaName,
         generation: Generation,
@@ -53,7 +52,7 @@
         Self { replica, generation, report_life_ms, members }
     }
 
-    /// Takes a member's report that was asked for at `asked_at`; an older one than known is dropped.
+    /// Applies a member's report from a poll sent at `polled_at`, unless a later poll was answered.
     pub fn apply_report(&mut self, polled_at: TimeMs, report: &MemberReport) {
         let Some(member) = self.member_mut(&report.vm) else { return };
         if member.last_report.as_ref().is_some_and(|last_report| last_report.polled_at > polled_at)
@@ -64,14 +63,14 @@
         member.last_report = Some(TimedReport { polled_at, boot: report.boot, formation });
     }
 
-    /// Forgets a member's report: it did not answer, or a request to it failed.
+    /// Discards the report of a member that did not answer or whose request failed.
     pub fn discard_report(&mut self, vm: &VmName) {
         if let Some(member) = self.member_mut(vm) {
             member.last_report = None;
         }
     }
 
-    /// Judges the reports as of `now`.
+    /// Evaluates the reports as of `now`.
     pub fn evaluate(&self, now: TimeMs) -> Assessment {
         let not_whole = |vm: &VmName, reason| Assessment::NotWhole { vm: vm.clone(), reason };
         let mut boots = Vec::with_capacity(self.members.len());
@@ -90,14 +89,14 @@
         match self
             .members
             .iter()
-            .find_map(|member| Some((&member.vm, self.reason(member, &boots)?)))
+            .find_map(|member| Some((&member.vm, self.find_reason(member, &boots)?)))
         {
             Some((vm, reason)) => not_whole(vm, reason),
             None => Assessment::Whole { boots, until },
         }
     }
 
-    fn reason(&self, member: &Member, boots: &[Boot]) -> Option<NotWholeReason> {
+    fn find_reason(&self, member: &Member, boots: &[Boot]) -> Option<NotWholeReason> {
         let formation = member.last_report.as_ref()?.formation.as_ref();
         let Some(formation) = formation else { return Some(NotWholeReason::OtherFormation) };
         if formation.replica != self.replica || formation.generation != self.generation {
--- a/crates/wholeness/src/lib.rs
+++ b/crates/wholeness/src/lib.rs
@@ -1,13 +1,13 @@
 //! Replica wholeness from member reports, without I/O.
 //!
-//! A replica serves only while fresh reports of every member agree on the replica, the generation
-//! and the boots of all members. One missing, old or disagreeing member makes it unroutable.
+//! A replica serves only while fresh reports of all members agree on the replica, the generation and
+//! the boots of all members. A single missing, expired or disagreeing report makes it unroutable.
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`agreement`] | the reports of one replica's members and the judgement on them |
+//! | [`agreement`] | the reports of a replica's members and their assessment |
 //!
-//! A member that restarts is in `examples/restarted_member.rs`:
+//! See `examples/restarted_member.rs` for a member that restarts:
 //! `cargo run -p celeryhaven-wholeness --example restarted_member`.
 
 pub mod agreement;
--- a/crates/wholeness/tests/agreement.rs
+++ b/crates/wholeness/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Wholeness judged from member reports.
+//! Assessment of a replica's wholeness from member reports.
 
 use celeryhaven_types::{
     Boot, Fence, Formation, Generation, MemberReport, ModelVersion, ReplicaName, TimeMs, VmName,
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn judge_one_member_silent() {
+fn evaluate_one_member_silent() {
     let mut agreement = agreement();
     agreement.apply_report(TimeMs::new(0), &report("a", 1, 3, [1, 2]));
     assert_eq!(reason(&agreement, 0), Some(("b".into(), NotWholeReason::NoReport)));
 }
 
 #[test]
-fn judge_report_old() {
+fn evaluate_report_expired() {
     let mut agreement = whole_at(0);
     agreement.apply_report(TimeMs::new(900), &report("a", 1, 3, [1, 2]));
     assert_eq!(reason(&agreement, 999), None);
@@ -67,16 +67,15 @@
 }
 
 #[test]
-fn judge_restarted_with_claims() {
-    // A member restarts at the same address and still claims its old formation. Its own boot is
-    // new, so the boots that both report no longer match.
+fn evaluate_restarted_member_claims_formation() {
+    // A restarted member that still claims its old formation must be detected by its boot.
     let mut agreement = whole_at(0);
     agreement.apply_report(TimeMs::new(10), &report("b", 7, 3, [1, 2]));
     assert_eq!(reason(&agreement, 10), Some(("a".into(), NotWholeReason::BootMismatch)));
 }
 
 #[test]
-fn judge_restarted_empty() {
+fn evaluate_restarted_member_without_formation() {
     let mut agreement = whole_at(0);
     let mut empty = report("b", 7, 3, [1, 2]);
     empty.formation = None;
@@ -85,16 +84,15 @@
 }
 
 #[test]
-fn judge_older_generation() {
+fn evaluate_older_generation() {
     let mut agreement = whole_at(0);
     agreement.apply_report(TimeMs::new(10), &report("b", 2, 2, [1, 2]));
     assert_eq!(reason(&agreement, 10), Some(("b".into(), NotWholeReason::OtherFormation)));
 }
 
 #[test]
-fn report_crossed() {
-    // Two polls of one member overlap and the earlier one's answer comes last: it may not hide what
-    // the later one saw.
+fn apply_report_out_of_order() {
+    // The answer to an earlier poll arrives last and must not replace the later report.
     let mut agreement = whole_at(0);
     agreement.apply_report(TimeMs::new(20), &report("b", 7, 3, [1, 2]));
     agreement.apply_report(TimeMs::new(10), &report("b", 2, 3, [1, 2]));
@@ -102,7 +100,7 @@
 }
 
 #[test]
-fn forget_makes_missing() {
+fn discard_report_makes_not_whole() {
     let mut agreement = whole_at(0);
     agreement.discard_report(&VmName::new("a"));
     assert_eq!(reason(&agreement, 1), Some(("a".into(), NotWholeReason::NoReport)));
