--- a/crates/lease/examples/two_candidates.rs
+++ b/crates/lease/examples/two_candidates.rs
@@ -1,6 +1,6 @@
 //! Two candidates for one lease, a store of one object, and a holder that stops renewing.
 
-use celeryhaven_lease::{Lease, LeaseSettings, Nearness};
+use celeryhaven_lease::{Lease, LeaseSettings, Proximity};
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use celeryhaven_types::{Boot, Incarnation, NodeName, TimeMs};
 
@@ -39,7 +39,7 @@
         .map(|i| {
             let me = Incarnation::new(NodeName::new(format!("entry-{i}")), Boot::new(1));
             let key = ObjectKey::new("leases/fabric-1");
-            Lease::new(key, me, Nearness::Near, LeaseSettings::default(), i)
+            Lease::new(key, me, Proximity::Near, LeaseSettings::default(), i)
         })
         .collect();
     let mut holder = None;
@@ -51,7 +51,7 @@
             }
             lease.observe(now, store.object.as_ref());
             while let Some(request) = lease.poll(now) {
-                lease.reply(now, store.call(request));
+                lease.apply_reply(now, store.call(request));
             }
         }
         let holds: Vec<usize> = (0..2).filter(|i| candidates[*i].held(now).is_some()).collect();
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -30,6 +30,6 @@
 pub mod record;
 pub mod settings;
 
-pub use machine::{Lease, Nearness};
+pub use machine::{Lease, Proximity};
 pub use record::LeaseRecord;
 pub use settings::LeaseSettings;
--- a/crates/lease/src/machine/lease.rs
+++ b/crates/lease/src/machine/lease.rs
@@ -4,7 +4,7 @@
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use celeryhaven_types::{Fence, Incarnation, TimeMs};
 
-use crate::machine::{Call, Doubt, Held, Nearness, Seen};
+use crate::machine::{Call, Doubt, Held, Proximity, Seen};
 use crate::record::LeaseRecord;
 use crate::settings::LeaseSettings;
 
@@ -15,32 +15,32 @@
     /// that a run can be repeated.
     ///
     /// ```
-    /// use celeryhaven_lease::{Lease, LeaseSettings, Nearness};
+    /// use celeryhaven_lease::{Lease, LeaseSettings, Proximity};
     /// use celeryhaven_types::store::{ObjectKey, ObjectVersion, StoreReply, StoreRequest};
     /// use celeryhaven_types::{Boot, Fence, Incarnation, NodeName, TimeMs};
     ///
     /// let me = Incarnation::new(NodeName::new("entry-1"), Boot::new(7));
     /// let key = ObjectKey::new("leases/fabric-1");
-    /// let mut lease = Lease::new(key, me, Nearness::Near, LeaseSettings::default(), 42);
+    /// let mut lease = Lease::new(key, me, Proximity::Near, LeaseSettings::default(), 42);
     /// let now = TimeMs::new(0);
     /// lease.observe(now, None);
     /// let later = lease.next_wake(now).expect("it will take the free lease");
     /// let request = lease.poll(later).expect("it looks once more");
     /// assert!(matches!(request, StoreRequest::Get { .. }));
-    /// lease.reply(later, StoreReply::Missing);
+    /// lease.apply_reply(later, StoreReply::Missing);
     /// let request = lease.poll(later).expect("the free lease is created");
     /// assert!(matches!(request, StoreRequest::Create { .. }));
-    /// lease.reply(later, StoreReply::Written { version: ObjectVersion::new(1) });
+    /// lease.apply_reply(later, StoreReply::Written { version: ObjectVersion::new(1) });
     /// assert_eq!(lease.held(later), Some(Fence::new(1)));
     /// assert_eq!(lease.held(later.after(60_000)), None);
     /// ```
     pub struct Lease {
         key: ObjectKey,
         me: Incarnation,
-        nearness: Nearness,
+        proximity: Proximity,
         settings: LeaseSettings,
         seed: u64,
-        handicap_ms: u64,
+        extra_wait_ms: u64,
         fence_floor: Fence,
         writes: u64,
         looked_at: Option<TimeMs>,
@@ -59,17 +59,17 @@
     pub fn new(
         key: ObjectKey,
         me: Incarnation,
-        nearness: Nearness,
+        proximity: Proximity,
         settings: LeaseSettings,
         seed: u64,
     ) -> Self {
         Self {
             key,
             me,
-            nearness,
+            proximity,
             settings,
             seed,
-            handicap_ms: 0,
+            extra_wait_ms: 0,
             fence_floor: Fence::default(),
             writes: 0,
             looked_at: None,
@@ -113,8 +113,8 @@
     /// Sets how much longer this candidate waits than others before it takes a lapsed lease.
     ///
     /// A controller that holds many leases waits longer, so that leases spread over controllers.
-    pub fn set_handicap_ms(&mut self, handicap_ms: u64) {
-        self.handicap_ms = handicap_ms;
+    pub fn set_extra_wait_ms(&mut self, extra_wait_ms: u64) {
+        self.extra_wait_ms = extra_wait_ms;
     }
 
     /// Takes a fencing number above this one with the next renewal, which is due at once.
@@ -151,7 +151,7 @@
     }
 
     /// Takes in the answer to the call that [`Lease::poll`] returned last.
-    pub fn reply(&mut self, now: TimeMs, reply: StoreReply) {
+    pub fn apply_reply(&mut self, now: TimeMs, reply: StoreReply) {
         match self.call.take() {
             Some(Call::Read { .. }) => self.read_ended(now, reply),
             Some(Call::Write { sent_at, record }) => {
@@ -273,7 +273,7 @@
     fn expire_call(&mut self, now: TimeMs) {
         let timeout_ms = self.settings.call_timeout_ms;
         if self.call.as_ref().is_some_and(|call| now.since(call.sent_at()) >= timeout_ms) {
-            self.reply(now, StoreReply::Unknown);
+            self.apply_reply(now, StoreReply::Unknown);
         }
     }
 
@@ -297,13 +297,13 @@
     }
 
     fn wait_ms(&self) -> u64 {
-        let far_ms = match self.nearness {
-            Nearness::Near => 0,
-            Nearness::Far => self.settings.far_delay_ms,
+        let far_ms = match self.proximity {
+            Proximity::Near => 0,
+            Proximity::Far => self.settings.far_delay_ms,
         };
         let version = self.seen.as_ref().map(Seen::version).unwrap_or_default();
         let jitter_permille = mix(self.seed ^ version.get()) % 1_000;
-        self.settings.jitter_ms * jitter_permille / 1_000 + far_ms + self.handicap_ms
+        self.settings.jitter_ms * jitter_permille / 1_000 + far_ms + self.extra_wait_ms
     }
 
     /// Whether a read just now found the lease as last seen.
--- a/crates/lease/src/machine/mod.rs
+++ b/crates/lease/src/machine/mod.rs
@@ -3,11 +3,11 @@
 mod call;
 mod held;
 mod lease;
-mod nearness;
+mod proximity;
 mod seen;
 
 pub use lease::Lease;
-pub use nearness::Nearness;
+pub use proximity::Proximity;
 
 pub(crate) use call::{Call, Doubt};
 pub(crate) use held::Held;
--- a/crates/lease/tests/lease.rs
+++ b/crates/lease/tests/lease.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use celeryhaven_lease::{LeaseSettings, Nearness};
+use celeryhaven_lease::{LeaseSettings, Proximity};
 use celeryhaven_types::store::StoreReply;
 use celeryhaven_types::{Fence, TimeMs};
 use support::{Answer, Bench};
@@ -61,7 +61,7 @@
     lease.poll(renew_at).expect("the renewal is due");
     let answered_at = renew_at.after(settings.call_timeout_ms - 1);
     let version = bench.store.version().next();
-    lease.reply(answered_at, StoreReply::Written { version });
+    lease.apply_reply(answered_at, StoreReply::Written { version });
     let span_ms = settings.ttl_ms - settings.margin_ms;
     assert_eq!(lease.held_until(), Some(renew_at.after(span_ms)));
 }
@@ -147,7 +147,7 @@
 #[test]
 fn near_candidate_goes_before_far() {
     for seed in 0..20 {
-        let mut bench = Bench::with_nearness(seed, &[Nearness::Far, Nearness::Near]);
+        let mut bench = Bench::with_proximity(seed, &[Proximity::Far, Proximity::Near]);
         bench.run_to(9_000);
         assert_eq!(bench.holders(), [1]);
     }
--- a/crates/lease/tests/support/mod.rs
+++ b/crates/lease/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Candidates for one lease round a store of one object, in virtual time.
 
-use celeryhaven_lease::{Lease, LeaseSettings, Nearness};
+use celeryhaven_lease::{Lease, LeaseSettings, Proximity};
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use celeryhaven_types::{Boot, Fence, Incarnation, NodeName, TimeMs};
 
@@ -68,14 +68,14 @@
 
 impl Bench {
     pub fn new(candidates: usize) -> Self {
-        Self::with_nearness(0, &vec![Nearness::Near; candidates])
+        Self::with_proximity(0, &vec![Proximity::Near; candidates])
     }
 
-    pub fn with_nearness(seed: u64, nearness: &[Nearness]) -> Self {
-        let leases = nearness.iter().enumerate().map(|(i, nearness)| {
+    pub fn with_proximity(seed: u64, proximity: &[Proximity]) -> Self {
+        let leases = proximity.iter().enumerate().map(|(i, proximity)| {
             let me = Incarnation::new(NodeName::new(format!("entry-{i}")), Boot::new(1));
             let key = ObjectKey::new("leases/fabric-1");
-            Lease::new(key, me, *nearness, LeaseSettings::default(), seed * 1_000 + i as u64)
+            Lease::new(key, me, *proximity, LeaseSettings::default(), seed * 1_000 + i as u64)
         });
         let leases: Vec<Lease> = leases.collect();
         Self {
@@ -119,7 +119,7 @@
             }
             let lease = &mut self.leases[i];
             if let Some(reply) = self.coming[i].take() {
-                lease.reply(self.now, reply);
+                lease.apply_reply(self.now, reply);
             }
             let lists = (self.now.get() + 37 * i as u64) % LIST_EVERY_MS < STEP_MS;
             if lists && self.answers == Answer::Given {
--- a/crates/node/src/controller/controller_node.rs
+++ b/crates/node/src/controller/controller_node.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use celeryhaven_lease::{Lease, Nearness};
+use celeryhaven_lease::{Lease, Proximity};
 use celeryhaven_placement::{Allocation, DeploymentStatus};
 use celeryhaven_types::store::{Object, ObjectKey, StoreCall, StoreReply, StoreRequest};
 use celeryhaven_types::{
@@ -64,7 +64,7 @@
         seed: u64,
     ) -> Self {
         let key = ObjectKey::new("leases/allocation");
-        let lease = Lease::new(key, me.clone(), Nearness::Near, options.lease, seed);
+        let lease = Lease::new(key, me.clone(), Proximity::Near, options.lease, seed);
         Self {
             me,
             data_centre,
@@ -291,8 +291,8 @@
                 continue;
             }
             let nearness = match *data_centre == self.data_centre {
-                true => Nearness::Near,
-                false => Nearness::Far,
+                true => Proximity::Near,
+                false => Proximity::Far,
             };
             // Another seed for each lease, or one controller would come first for all of them.
             let seed = name.as_str().bytes().fold(self.seed, |seed, byte| {
--- a/crates/node/src/controller/state/lease_slot.rs
+++ b/crates/node/src/controller/state/lease_slot.rs
@@ -22,7 +22,7 @@
     }
 
     pub(crate) fn advance(&mut self, handicap_ms: u64, out: &mut Outbox<'_>) {
-        self.lease.set_handicap_ms(handicap_ms);
+        self.lease.set_extra_wait_ms(handicap_ms);
         if let Some(request) = self.lease.poll(out.now) {
             let call = out.calls.begin(out.now, self.route.clone());
             self.call = Some(call);
@@ -33,7 +33,7 @@
     pub(crate) fn reply(&mut self, now: TimeMs, call: StoreCall, reply: StoreReply) {
         if self.call == Some(call) {
             self.call = None;
-            self.lease.reply(now, reply);
+            self.lease.apply_reply(now, reply);
         }
     }
 
