--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,29 +1,29 @@
 //! Leases over a versioned store, without I/O.
 //!
-//! A [`Lease`] decides who may act for one named thing, such as a fabric domain. Its owner feeds it
-//! time, what it read of the lease's object and the answers to its calls; it says which call to make
-//! next and whether its holder may act now.
+//! A [`Lease`] decides which process may act for a resource, such as a fabric domain. Its owner
+//! provides the time, the state of the lease's object and the replies to its calls. The lease returns
+//! the next call, and whether its holder may act now.
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`record`] | the object's value |
-//! | [`settings`] | spans of time |
-//! | [`machine`] | the state machine of one candidate |
+//! | [`record`] | the value of the lease's object |
+//! | [`settings`] | durations |
+//! | [`machine`] | the state machine of a candidate |
 //!
-//! What it guards against:
+//! Failures that it handles:
 //!
-//! - *Clocks that differ.* Nobody compares two machines' clocks. An observer counts its own elapsed
-//!   time since it last saw the object change; a holder counts from when it **sent** its last
-//!   successful renewal, which is never later than the write that observers saw.
-//! - *A paused holder.* Its time is up on its own clock before any observer's is, by a margin. If
-//!   its clock stood still during the pause, the fencing number is what stops it: each new holder
-//!   has a higher one, which the store's guarded writes and checking targets refuse to go below.
-//! - *A lost answer.* A write without an answer is read back by its identity before the next one.
+//! - *Clock skew.* Clocks of different machines are never compared. A candidate measures the time
+//!   since it last observed a change of the object; a holder measures from when it **sent** its last
+//!   successful renewal, which is never later than the write that others observe.
+//! - *A paused holder.* Its term ends, by a margin, before any candidate considers the lease expired.
+//!   If its clock stops during the pause, fencing protects: each new holder has a higher number, and
+//!   guarded writes of the store and targets that check it reject lower ones.
+//! - *A lost reply.* A write without a reply is read back, by its identity, before the next one.
 //!
 //! Source: C. Gray, D. Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File
 //! Cache Consistency", SOSP 1989.
 //!
-//! Two candidates, one of which stops renewing, are in `examples/two_candidates.rs`:
+//! See `examples/two_candidates.rs` for a holder that stops renewing:
 //! `cargo run -p celeryhaven-lease --example two_candidates`.
 
 pub mod machine;
--- a/crates/lease/src/machine/lease.rs
+++ b/crates/lease/src/machine/lease.rs
@@ -4,15 +4,15 @@
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use celeryhaven_types::{Fence, Incarnation, TimeMs};
 
-use crate::machine::{Call, Doubt, Held, Proximity, Seen};
+use crate::machine::{Call, LeaseTerm, ObservedObject, Proximity, UnconfirmedWrite};
 use crate::record::LeaseRecord;
 use crate::settings::LeaseSettings;
 
 state! {
-    /// One candidate's view of one lease.
+    /// A candidate for a lease.
     ///
-    /// At most one call of a lease is under way at a time. Its random waits come from a seed, so
-    /// that a run can be repeated.
+    /// It has at most one call in flight. Random waits are derived from a seed, so that runs are
+    /// reproducible.
     ///
     /// ```
     /// use celeryhaven_lease::{Lease, LeaseSettings, Proximity};
@@ -24,11 +24,11 @@
     /// let mut lease = Lease::new(key, me, Proximity::Near, LeaseSettings::default(), 42);
     /// let now = TimeMs::new(0);
     /// lease.observe(now, None);
-    /// let later = lease.next_wake(now).expect("it will take the free lease");
-    /// let request = lease.poll(later).expect("it looks once more");
+    /// let later = lease.next_wake(now).expect("the lease is free");
+    /// let request = lease.poll(later).expect("a read is due");
     /// assert!(matches!(request, StoreRequest::Get { .. }));
     /// lease.apply_reply(later, StoreReply::Missing);
-    /// let request = lease.poll(later).expect("the free lease is created");
+    /// let request = lease.poll(later).expect("a write is due");
     /// assert!(matches!(request, StoreRequest::Create { .. }));
     /// lease.apply_reply(later, StoreReply::Written { version: ObjectVersion::new(1) });
     /// assert_eq!(lease.held(later), Some(Fence::new(1)));
@@ -36,18 +36,18 @@
     /// ```
     pub struct Lease {
         key: ObjectKey,
-        me: Incarnation,
+        candidate: Incarnation,
         proximity: Proximity,
         settings: LeaseSettings,
         seed: u64,
         extra_wait_ms: u64,
         fence_floor: Fence,
         writes: u64,
-        looked_at: Option<TimeMs>,
-        seen: Option<Seen>,
+        last_read_at: Option<TimeMs>,
+        observed: Option<ObservedObject>,
         call: Option<Call>,
-        doubt: Option<Doubt>,
-        held: Option<Held>,
+        unconfirmed_write: Option<UnconfirmedWrite>,
+        term: Option<LeaseTerm>,
         retry_at: TimeMs,
         releasing: bool,
     }
@@ -55,137 +55,137 @@
 
 /// Construction.
 impl Lease {
-    /// A candidate that has seen nothing yet; `seed` differs among candidates.
+    /// Creates a candidate without observations; `seed` must differ between candidates.
     pub fn new(
         key: ObjectKey,
-        me: Incarnation,
+        candidate: Incarnation,
         proximity: Proximity,
         settings: LeaseSettings,
         seed: u64,
     ) -> Self {
         Self {
             key,
-            me,
+            candidate,
             proximity,
             settings,
             seed,
             extra_wait_ms: 0,
             fence_floor: Fence::default(),
             writes: 0,
-            looked_at: None,
-            seen: None,
+            last_read_at: None,
+            observed: None,
             call: None,
-            doubt: None,
-            held: None,
+            unconfirmed_write: None,
+            term: None,
             retry_at: TimeMs::default(),
             releasing: false,
         }
     }
 }
 
-/// What the candidate may do.
+/// Current state.
 impl Lease {
-    /// The fencing number under which the holder may act now; `None` if it may not.
+    /// Returns the fencing number if this candidate holds the lease and may act now.
     ///
-    /// Callers ask again right before each act, never once for several.
+    /// Callers must check this immediately before each action.
     pub fn held(&self, now: TimeMs) -> Option<Fence> {
-        self.held.filter(|held| now < held.until).map(|held| held.fence)
+        self.term.filter(|term| now < term.until).map(|term| term.fence)
     }
 
-    /// When the holder must stop acting unless it renews.
+    /// Returns when the holder must stop acting unless it renews; `None` without a term.
     pub fn held_until(&self) -> Option<TimeMs> {
-        self.held.map(|held| held.until)
+        self.term.map(|term| term.until)
     }
 
-    /// The object that keeps the lease.
+    /// Returns the key of the lease's object.
     pub const fn key(&self) -> &ObjectKey {
         &self.key
     }
 
-    /// The record last seen, whoever wrote it.
+    /// Returns the latest observed record, of any holder.
     pub fn record(&self) -> Option<&LeaseRecord> {
-        self.seen.as_ref()?.object.as_ref().map(|(_, record)| record)
+        self.observed.as_ref()?.object.as_ref().map(|(_, record)| record)
     }
 }
 
-/// What the candidate hears.
+/// Inputs.
 impl Lease {
-    /// Sets how much longer this candidate waits than others before it takes a lapsed lease.
+    /// Sets the extra wait of this candidate before it acquires a free or expired lease.
     ///
-    /// A controller that holds many leases waits longer, so that leases spread over controllers.
+    /// Longer waits for controllers that hold many leases distribute leases over controllers.
     pub fn set_extra_wait_ms(&mut self, extra_wait_ms: u64) {
         self.extra_wait_ms = extra_wait_ms;
     }
 
-    /// Takes a fencing number above this one with the next renewal, which is due at once.
+    /// Ends the term, and renews at once with a fencing number above the given one.
     ///
-    /// For a holder that finds a higher number than its own in what it guards: the lease's object
-    /// was removed by hand, and its numbers began anew. If instead somebody took the lease over, the
-    /// renewal names a version that is gone and fails.
+    /// A holder calls this when the guarded resource has a higher number than its own, as happens if
+    /// an operator deletes the lease's object and the numbers restart. If another process has
+    /// acquired the lease instead, the renewal fails with a version conflict.
     pub fn raise_fence(&mut self, above: Fence) {
         if self.record().is_some_and(|record| record.fence <= above) {
             self.fence_floor = above;
-            self.held = None;
+            self.term = None;
         }
     }
 
-    /// Stops acting at once, gives the lease up at the next poll, and takes it no more.
+    /// Ends the term at once, releases the lease at the next poll and never acquires it again.
     pub fn release(&mut self) {
         self.releasing = true;
-        self.held = None;
+        self.term = None;
     }
 
-    /// Takes in a read of the object, its own or part of a list; `None` if there is no object.
+    /// Applies the object as read or listed; `None` if there is no object.
     ///
-    /// An older version than seen before is ignored: reads of the store may be stale.
+    /// Versions that are not newer than the latest observed one are ignored, since reads may be stale.
     pub fn observe(&mut self, now: TimeMs, object: Option<&Object>) {
         let object = object.and_then(|object| {
             let record = serde_json::from_str::<LeaseRecord>(&object.value).ok()?;
             Some((object.version, record))
         });
         let version = object.as_ref().map(|(version, _)| *version).unwrap_or_default();
-        if self.seen.as_ref().is_some_and(|seen| version <= seen.version()) {
+        if self.observed.as_ref().is_some_and(|observed| version <= observed.version()) {
             return;
         }
-        self.see(now, object);
+        self.set_observed(now, object);
     }
 
-    /// Takes in the answer to the call that [`Lease::poll`] returned last.
+    /// Applies the reply to the call that [`Lease::poll`] returned last.
     pub fn apply_reply(&mut self, now: TimeMs, reply: StoreReply) {
         match self.call.take() {
-            Some(Call::Read { .. }) => self.read_ended(now, reply),
+            Some(Call::Read { .. }) => self.complete_read(now, reply),
             Some(Call::Write { sent_at, record }) => {
-                self.write_ended(now, sent_at, record, reply);
+                self.complete_write(now, sent_at, record, reply);
             }
             None => {}
         }
     }
 
-    fn read_ended(&mut self, now: TimeMs, reply: StoreReply) {
+    fn complete_read(&mut self, now: TimeMs, reply: StoreReply) {
         let version = match reply {
             StoreReply::Found(object) => {
                 self.observe(now, Some(&object));
                 object.version
             }
-            // Removed by hand, or an old read: creating it anew fails if it is there.
+            // Deleted by an operator, or a stale read, in which case creating it again fails.
             StoreReply::Missing => {
-                if self.record().is_some() || self.seen.is_none() {
-                    self.see(now, None);
+                if self.record().is_some() || self.observed.is_none() {
+                    self.set_observed(now, None);
                 }
                 ObjectVersion::default()
             }
             _ => return self.retry_at = now.after(self.settings.call_timeout_ms),
         };
-        if self.seen.as_ref().is_some_and(|seen| version < seen.version()) {
+        if self.observed.as_ref().is_some_and(|observed| version < observed.version()) {
             return self.retry_at = now.after(self.settings.call_timeout_ms / 4);
         }
-        // If the doubtful write had taken effect, `see` found its identity. If it takes effect
-        // later still, one of it and our next write fails at the version, and a read follows.
-        self.doubt = None;
-        self.looked_at = Some(now);
+        // The read shows whether the unconfirmed write has taken effect. If it still does so later,
+        // either it or the next write fails with a version conflict, and another read follows.
+        self.unconfirmed_write = None;
+        self.last_read_at = Some(now);
     }
 
-    fn write_ended(
+    fn complete_write(
         &mut self,
         now: TimeMs,
         sent_at: TimeMs,
@@ -195,81 +195,85 @@
         match reply {
             StoreReply::Written { version } => {
                 if !record.released && !self.releasing {
-                    self.hold(sent_at, record.fence);
+                    self.start_term(sent_at, record.fence);
                 }
-                self.seen = Some(Seen { object: Some((version, record)), since: now });
+                self.observed =
+                    Some(ObservedObject { object: Some((version, record)), since: now });
             }
             StoreReply::NotDone => self.retry_at = now.after(self.settings.call_timeout_ms / 4),
-            // Somebody else wrote, or an earlier write of ours took effect late: read before
-            // another try. Until the read says so, this process does not hold the lease.
+            // Another process wrote, or an earlier write of this one took effect late. A read must
+            // show which, and the lease does not count as held until then.
             StoreReply::Conflict => {
-                self.held = None;
-                self.doubt = Some(Doubt { sent_at, record });
+                self.term = None;
+                self.unconfirmed_write = Some(UnconfirmedWrite { sent_at, record });
             }
             _ => {
-                self.doubt = Some(Doubt { sent_at, record });
+                self.unconfirmed_write = Some(UnconfirmedWrite { sent_at, record });
                 self.retry_at = now.after(self.settings.call_timeout_ms / 4);
             }
         }
     }
 
-    fn see(&mut self, now: TimeMs, object: Option<(ObjectVersion, LeaseRecord)>) {
-        let ours = object.as_ref().map(|(_, record)| record).filter(|r| r.holder == self.me);
-        match ours.map(|record| (record.clone(), self.sent_at(record))) {
+    fn set_observed(&mut self, now: TimeMs, object: Option<(ObjectVersion, LeaseRecord)>) {
+        let own_record =
+            object.as_ref().map(|(_, record)| record).filter(|r| r.holder == self.candidate);
+        match own_record.map(|record| (record.clone(), self.write_sent_at(record))) {
             Some((record, Some(sent_at))) if !record.released && !self.releasing => {
-                self.hold(sent_at, record.fence);
+                self.start_term(sent_at, record.fence);
             }
-            // A write of ours whose sending time is forgotten: it proves that nobody else held
-            // the lease since, but gives no new time to act.
+            // An own write of unknown sending time: no other process has held the lease since, but
+            // it starts no new term.
             Some(_) => {}
-            None => self.held = None,
+            None => self.term = None,
         }
-        self.seen = Some(Seen { object, since: now });
+        self.observed = Some(ObservedObject { object, since: now });
     }
 
-    /// When the write of this record was sent, if it is the last one and had no answer.
-    fn sent_at(&self, record: &LeaseRecord) -> Option<TimeMs> {
-        match (&self.call, &self.doubt) {
+    /// Returns when the write of this record was sent, if it is the last one and has no reply.
+    fn write_sent_at(&self, record: &LeaseRecord) -> Option<TimeMs> {
+        match (&self.call, &self.unconfirmed_write) {
             (Some(Call::Write { sent_at, record: sent }), _) if sent == record => Some(*sent_at),
-            (_, Some(doubt)) if doubt.record == *record => Some(doubt.sent_at),
+            (_, Some(unconfirmed_write)) if unconfirmed_write.record == *record => {
+                Some(unconfirmed_write.sent_at)
+            }
             _ => None,
         }
     }
 
-    fn hold(&mut self, sent_at: TimeMs, fence: Fence) {
-        let span_ms = self.settings.ttl_ms.saturating_sub(self.settings.margin_ms);
-        self.held = Some(Held {
+    fn start_term(&mut self, sent_at: TimeMs, fence: Fence) {
+        let term_ms = self.settings.ttl_ms.saturating_sub(self.settings.margin_ms);
+        self.term = Some(LeaseTerm {
             fence,
-            until: sent_at.after(span_ms),
+            until: sent_at.after(term_ms),
             renew_at: sent_at.after(self.settings.renew_every_ms),
         });
     }
 }
 
-/// What the candidate asks of the store.
+/// Calls to the store.
 impl Lease {
-    /// The call to make now, if one is due.
+    /// Returns the call to make now, if one is due.
     pub fn poll(&mut self, now: TimeMs) -> Option<StoreRequest> {
         self.expire_call(now);
-        if self.call.is_some() || now < self.due(now)? {
+        if self.call.is_some() || now < self.next_call_at(now)? {
             return None;
         }
-        if self.doubt.is_some() || !(self.is_ours() || self.has_looked(now)) {
+        if self.unconfirmed_write.is_some() || !(self.is_holder() || self.has_recent_read(now)) {
             return Some(self.read(now));
         }
         Some(self.write(now))
     }
 
-    /// When [`Lease::poll`] should be called next.
+    /// Returns when to call [`Lease::poll`] next; `None` if no call will be due.
     pub fn next_wake(&self, now: TimeMs) -> Option<TimeMs> {
         match &self.call {
             Some(call) => Some(call.sent_at().after(self.settings.call_timeout_ms)),
-            None => self.due(now),
+            None => self.next_call_at(now),
         }
     }
 
-    /// A call whose answer stays away ends as unknown, so that a dead connection does not stop
-    /// renewals for good.
+    /// Completes a call that has timed out with an unknown result, so that a dead connection does
+    /// not block renewals.
     fn expire_call(&mut self, now: TimeMs) {
         let timeout_ms = self.settings.call_timeout_ms;
         if self.call.as_ref().is_some_and(|call| now.since(call.sent_at()) >= timeout_ms) {
@@ -277,22 +281,21 @@
         }
     }
 
-    fn due(&self, now: TimeMs) -> Option<TimeMs> {
-        if self.doubt.is_some() {
+    fn next_call_at(&self, now: TimeMs) -> Option<TimeMs> {
+        if self.unconfirmed_write.is_some() {
             return Some(self.retry_at);
         }
-        let seen = self.seen.as_ref()?;
-        let at =
-            match &seen.object {
-                Some((_, record)) if record.holder == self.me && !record.released => {
-                    if self.releasing { now } else { self.held.map_or(now, |held| held.renew_at) }
-                }
-                _ if self.releasing => return None,
-                Some((_, record)) if !record.released => {
-                    seen.since.after(self.settings.ttl_ms).after(self.wait_ms())
-                }
-                _ => seen.since.after(self.wait_ms()),
-            };
+        let observed = self.observed.as_ref()?;
+        let at = match &observed.object {
+            Some((_, record)) if record.holder == self.candidate && !record.released => {
+                if self.releasing { now } else { self.term.map_or(now, |term| term.renew_at) }
+            }
+            _ if self.releasing => return None,
+            Some((_, record)) if !record.released => {
+                observed.since.after(self.settings.ttl_ms).after(self.wait_ms())
+            }
+            _ => observed.since.after(self.wait_ms()),
+        };
         Some(at.max(self.retry_at))
     }
 
@@ -301,21 +304,21 @@
             Proximity::Near => 0,
             Proximity::Far => self.settings.far_delay_ms,
         };
-        let version = self.seen.as_ref().map(Seen::version).unwrap_or_default();
-        let jitter_permille = mix(self.seed ^ version.get()) % 1_000;
+        let version = self.observed.as_ref().map(ObservedObject::version).unwrap_or_default();
+        let jitter_permille = splitmix64(self.seed ^ version.get()) % 1_000;
         self.settings.jitter_ms * jitter_permille / 1_000 + far_ms + self.extra_wait_ms
     }
 
-    /// Whether a read just now found the lease as last seen.
+    /// Whether the object was read within the last `call_timeout_ms` and not written since.
     ///
-    /// Of many candidates whose random waits end at about the same time, all but the first see in
-    /// that read that the lease is taken. Without it each of them would spend a write.
-    fn has_looked(&self, now: TimeMs) -> bool {
-        self.looked_at.is_some_and(|at| now.since(at) < self.settings.call_timeout_ms)
+    /// Candidates read before they acquire. When many of them wait for the same expiry, all but the
+    /// first find the lease taken by this read and send no write.
+    fn has_recent_read(&self, now: TimeMs) -> bool {
+        self.last_read_at.is_some_and(|at| now.since(at) < self.settings.call_timeout_ms)
     }
 
-    fn is_ours(&self) -> bool {
-        self.record().is_some_and(|record| record.holder == self.me && !record.released)
+    fn is_holder(&self) -> bool {
+        self.record().is_some_and(|record| record.holder == self.candidate && !record.released)
     }
 
     fn read(&mut self, now: TimeMs) -> StoreRequest {
@@ -324,14 +327,14 @@
     }
 
     fn write(&mut self, now: TimeMs) -> StoreRequest {
-        self.looked_at = None;
+        self.last_read_at = None;
         self.writes += 1;
         let record = self.next_record();
-        // A record of plain names and numbers always has a JSON form.
+        // A record of strings and numbers always serializes.
         let value: Arc<str> = serde_json::to_string(&record).unwrap_or_default().into();
         self.call = Some(Call::Write { sent_at: now, record });
         let key = self.key.clone();
-        match self.seen.as_ref().and_then(|seen| seen.object.as_ref()) {
+        match self.observed.as_ref().and_then(|observed| observed.object.as_ref()) {
             Some((version, _)) => StoreRequest::Update { key, version: *version, value },
             None => StoreRequest::Create { key, value },
         }
@@ -340,8 +343,8 @@
     fn next_record(&self) -> LeaseRecord {
         let last_fence = self.record().map(|record| record.fence).unwrap_or_default();
         LeaseRecord {
-            holder: self.me.clone(),
-            fence: if self.is_ours() && last_fence > self.fence_floor {
+            holder: self.candidate.clone(),
+            fence: if self.is_holder() && last_fence > self.fence_floor {
                 last_fence
             } else {
                 last_fence.max(self.fence_floor).next()
@@ -352,8 +355,8 @@
     }
 }
 
-/// Spreads the bits of a seed over a whole number (the finalizer of SplitMix64).
-const fn mix(seed: u64) -> u64 {
+/// The output function of SplitMix64.
+const fn splitmix64(seed: u64) -> u64 {
     let mut bits = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/lease/src/machine/held.rs
+++ b/crates/lease/src/machine/lease_term.rs
@@ -2,14 +2,14 @@
 use celeryhaven_types::{Fence, TimeMs};
 
 state! {
-    /// What the holder knows of its own tenure.
+    /// The current term of the holder.
     #[derive(Copy)]
-    pub(crate) struct Held {
-        /// Its fencing number.
+    pub(crate) struct LeaseTerm {
+        /// Fencing number of the holder.
         pub(crate) fence: Fence,
-        /// When it must stop acting.
+        /// When the holder must stop acting.
         pub(crate) until: TimeMs,
-        /// When it renews.
+        /// When the next renewal is due.
         pub(crate) renew_at: TimeMs,
     }
 }
--- a/crates/lease/src/machine/mod.rs
+++ b/crates/lease/src/machine/mod.rs
@@ -1,14 +1,14 @@
-//! The state machine of one candidate.
+//! State machine of a candidate.
 
 mod call;
-mod held;
 mod lease;
+mod lease_term;
+mod observed_object;
 mod proximity;
-mod seen;
 
 pub use lease::Lease;
 pub use proximity::Proximity;
 
-pub(crate) use call::{Call, Doubt};
-pub(crate) use held::Held;
-pub(crate) use seen::Seen;
+pub(crate) use call::{Call, UnconfirmedWrite};
+pub(crate) use lease_term::LeaseTerm;
+pub(crate) use observed_object::ObservedObject;
--- a/crates/lease/src/machine/seen.rs
+++ b/crates/lease/src/machine/observed_object.rs
@@ -5,17 +5,17 @@
 use crate::record::LeaseRecord;
 
 state! {
-    /// The newest state of the object that this candidate saw.
-    pub(crate) struct Seen {
-        /// Its version and value; `None` if there was no object.
+    /// The latest state of the lease's object that this candidate has observed.
+    pub(crate) struct ObservedObject {
+        /// Version and value; `None` if there was no object.
         pub(crate) object: Option<(ObjectVersion, LeaseRecord)>,
-        /// When this candidate first saw it so.
+        /// When this candidate first observed the version.
         pub(crate) since: TimeMs,
     }
 }
 
-impl Seen {
-    /// The version seen, zero if there was no object.
+impl ObservedObject {
+    /// Returns the observed version; zero if there was no object.
     pub(crate) fn version(&self) -> ObjectVersion {
         self.object.as_ref().map(|(version, _)| *version).unwrap_or_default()
     }
--- a/crates/lease/src/machine/proximity.rs
+++ b/crates/lease/src/machine/proximity.rs
@@ -1,11 +1,11 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// Where a candidate stands to what the lease is for.
+    /// Whether a candidate is in the data centre that a lease belongs to.
     #[derive(Copy, Eq, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Proximity {
-        /// In the same data centre, or the lease belongs to none.
+        /// In the data centre of the lease, or the lease belongs to none.
         Near,
         /// In another data centre.
         Far,
--- a/crates/lease/src/record/lease_record.rs
+++ b/crates/lease/src/record/lease_record.rs
@@ -2,17 +2,17 @@
 use celeryhaven_types::{Fence, Incarnation};
 
 data! {
-    /// Who holds a lease, as kept in the Object API.
+    /// The holder of a lease, as stored in the Object API.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct LeaseRecord {
-        /// The process that wrote it.
+        /// Process that wrote the record.
         pub holder: Incarnation,
-        /// Fencing number, one higher with each holder.
+        /// Fencing number, higher for each new holder.
         pub fence: Fence,
-        /// Identity of the write, different in each renewal.
+        /// Identity of the write, different for each renewal.
         pub write_id: u64,
-        /// Whether the holder gave it up, so that nobody needs to wait for it to lapse.
+        /// Whether the holder released the lease, which others may then acquire before it expires.
         pub released: bool,
     }
 }
--- a/crates/lease/src/record/mod.rs
+++ b/crates/lease/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! The value of a lease's object.
+//! Value of a lease's object.
 
 mod lease_record;
 
--- a/crates/lease/src/settings/lease_settings.rs
+++ b/crates/lease/src/settings/lease_settings.rs
@@ -1,7 +1,7 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// Spans of time that all candidates for a lease must share.
+    /// Durations of a lease, which must be equal for all its candidates.
     ///
     /// ```
     /// use celeryhaven_lease::LeaseSettings;
@@ -11,28 +11,26 @@
     #[derive(Copy, Eq)]
     #[serde(deny_unknown_fields, default)]
     pub struct LeaseSettings {
-        /// Unchanged for this long, a lease has lapsed.
+        /// Time without a renewal after which the lease expires.
         pub ttl_ms: u64,
-        /// A holder stops this long before its own renewal could have lapsed.
+        /// Time before the expiry of its last renewal at which a holder stops acting.
         ///
-        /// Covers the drift of two clocks over one `ttl_ms` and the way from the last check to the
-        /// first byte of what it guards.
+        /// Must cover the drift of two clocks over `ttl_ms`, and the time between a check of the
+        /// lease and the guarded action.
         pub margin_ms: u64,
-        /// A holder renews this long after its last renewal.
+        /// Interval at which a holder renews.
         pub renew_every_ms: u64,
-        /// A call without an answer for this long counts as unknown.
+        /// Time after which the result of a call without a reply is unknown.
         pub call_timeout_ms: u64,
-        /// Candidates wait a random part of this before they take a lapsed lease.
+        /// Maximum random wait of a candidate before it acquires an expired lease.
         pub jitter_ms: u64,
-        /// Candidates of other data centres wait this much longer.
+        /// Extra wait of candidates in other data centres.
         pub far_delay_ms: u64,
     }
 }
 
 impl Default for LeaseSettings {
-    /// Three renewals fit into `ttl_ms`, so one lost write does not cost the lease; takeover after
-    /// a crash takes `ttl_ms` and at most `jitter_ms` more. At 29 leases the renewals are 15 writes
-    /// a second of the store's several hundred.
+    /// `ttl_ms` covers several renewals, so that a holder keeps the lease if one write is lost.
     fn default() -> Self {
         Self {
             ttl_ms: 6_000,
@@ -46,19 +44,19 @@
 }
 
 impl LeaseSettings {
-    /// Changes how long an unchanged lease lasts.
+    /// Sets the time without a renewal after which the lease expires.
     pub const fn with_ttl_ms(mut self, ttl_ms: u64) -> Self {
         self.ttl_ms = ttl_ms;
         self
     }
 
-    /// Changes how long before the end a holder stops.
+    /// Sets the time before expiry at which a holder stops acting.
     pub const fn with_margin_ms(mut self, margin_ms: u64) -> Self {
         self.margin_ms = margin_ms;
         self
     }
 
-    /// Changes the random wait before a lapsed lease is taken.
+    /// Sets the maximum random wait before an expired lease is acquired.
     pub const fn with_jitter_ms(mut self, jitter_ms: u64) -> Self {
         self.jitter_ms = jitter_ms;
         self
--- a/crates/lease/src/settings/mod.rs
+++ b/crates/lease/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Spans of time that a lease works with.
+//! Durations of a lease.
 
 mod lease_settings;
 
--- a/crates/lease/tests/support/mod.rs
+++ b/crates/lease/tests/support/mod.rs
@@ -1,24 +1,24 @@
-//! Candidates for one lease round a store of one object, in virtual time.
+//! Candidates for one lease and a store of one object, in virtual time.
 
 use celeryhaven_lease::{Lease, LeaseSettings, Proximity};
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use celeryhaven_types::{Boot, Fence, Incarnation, NodeName, TimeMs};
 
 const STEP_MS: u64 = 10;
-const LIST_EVERY_MS: u64 = 500;
+const LIST_INTERVAL_MS: u64 = 500;
 
-/// What becomes of answers of the store.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
-    /// They arrive a step later.
-    Given,
-    /// Calls are carried out and their answers lost.
-    Lost,
-    /// Calls are not carried out and get no answer.
-    Down,
+pub enum StoreMode {
+    /// Executes calls; replies arrive one step later.
+    Available,
+    /// Executes calls; replies are lost.
+    ReplyLost,
+    /// Does not execute calls.
+    Unavailable,
 }
 
-/// One object with versions.
+/// A store of one versioned object.
 #[derive(Clone, Debug, Default)]
 pub struct OneObject {
     pub object: Option<Object>,
@@ -55,18 +55,18 @@
     }
 }
 
-/// Candidates, their store, and one clock.
+/// Candidates, their store and the clock.
 #[derive(Debug)]
-pub struct Bench {
+pub struct Simulation {
     pub leases: Vec<Lease>,
     pub store: OneObject,
     pub now: TimeMs,
-    pub answers: Answer,
+    pub store_mode: StoreMode,
     paused: Vec<bool>,
-    coming: Vec<Option<StoreReply>>,
+    pending_replies: Vec<Option<StoreReply>>,
 }
 
-impl Bench {
+impl Simulation {
     pub fn new(candidates: usize) -> Self {
         Self::with_proximity(0, &vec![Proximity::Near; candidates])
     }
@@ -80,11 +80,11 @@
         let leases: Vec<Lease> = leases.collect();
         Self {
             paused: vec![false; leases.len()],
-            coming: vec![None; leases.len()],
+            pending_replies: vec![None; leases.len()],
             leases,
             store: OneObject::default(),
             now: TimeMs::new(0),
-            answers: Answer::Given,
+            store_mode: StoreMode::Available,
         }
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// One step of time; asserts that at most one candidate may act.
+    /// Advances time by one step and asserts that at most one candidate may act.
     pub fn step(&mut self) {
         self.now = self.now.after(STEP_MS);
         for i in 0..self.leases.len() {
@@ -118,24 +118,24 @@
                 continue;
             }
             let lease = &mut self.leases[i];
-            if let Some(reply) = self.coming[i].take() {
+            if let Some(reply) = self.pending_replies[i].take() {
                 lease.apply_reply(self.now, reply);
             }
-            let lists = (self.now.get() + 37 * i as u64) % LIST_EVERY_MS < STEP_MS;
-            if lists && self.answers == Answer::Given {
+            let is_listing = (self.now.get() + 37 * i as u64) % LIST_INTERVAL_MS < STEP_MS;
+            if is_listing && self.store_mode == StoreMode::Available {
                 lease.observe(self.now, self.store.object.as_ref());
             }
             if let Some(request) = lease.poll(self.now) {
-                self.coming[i] = match self.answers {
-                    Answer::Given => Some(self.store.call(&request)),
-                    Answer::Lost => {
+                self.pending_replies[i] = match self.store_mode {
+                    StoreMode::Available => Some(self.store.call(&request)),
+                    StoreMode::ReplyLost => {
                         self.store.call(&request);
                         None
                     }
-                    Answer::Down => None,
+                    StoreMode::Unavailable => None,
                 };
             }
         }
-        assert!(self.holders().len() <= 1, "two may act at {}", self.now);
+        assert!(self.holders().len() <= 1, "two candidates may act at {}", self.now);
     }
 }
