--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -4,7 +4,7 @@
 //! provides the time, the state of the lease's object and the replies to its calls. The lease returns
 //! the next call, and whether its holder may act now.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`record`] | the value of the lease's object |
 //! | [`settings`] | durations |
--- a/crates/placement/src/allocation/allocation_draft.rs
+++ b/crates/placement/src/allocation/allocation_draft.rs
@@ -143,7 +143,7 @@
         domains.filter(|d| names.is_empty() || names.contains(&d.data_centre)).cloned().collect()
     }
 
-    /// Removes replicas of strictly lower priority, the lowest first, until all wanted ones fit.
+    /// Replaces replicas of strictly lower priority, the lowest first, by missing ones that fit.
     fn preempt_lower(&mut self, deployment: &Deployment, lower: &[&Deployment]) {
         while self.total(deployment) < deployment.replicas {
             let found = self
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,6 +1,6 @@
 //! Placement of replicas on VMs and the operators' plan, without I/O.
 //!
-//! | module | what it decides |
+//! | module | result |
 //! |---|---|
 //! | [`allocation`] | number and version of a deployment's replicas in each fabric domain |
 //! | [`domain`] | the replica that each VM of a fabric domain belongs to, and the resulting orders |
--- a/crates/wholeness/src/lib.rs
+++ b/crates/wholeness/src/lib.rs
@@ -3,7 +3,7 @@
 //! A replica serves only while fresh reports of all members agree on the replica, the generation and
 //! the boots of all members. A single missing, expired or disagreeing report makes it unroutable.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`agreement`] | the reports of a replica's members and their assessment |
 //!
