--- a/crates/node/src/controller/controller_node.rs
+++ b/crates/node/src/controller/controller_node.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
-use celeryhaven_lease::{Lease, Nearness};
-use celeryhaven_placement::{Allocation, DeploymentFigures};
+use celeryhaven_lease::{Lease, Proximity};
+use celeryhaven_placement::{Allocation, DeploymentStatus};
 use celeryhaven_types::store::{Object, ObjectKey, StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{
     Config, DataCentreName, DeploymentName, DomainName, Fence, Incarnation, TimeMs,
@@ -64,7 +64,7 @@
         seed: u64,
     ) -> Self {
         let key = ObjectKey::new("leases/allocation");
-        let lease = Lease::new(key, me.clone(), Nearness::Near, options.lease, seed);
+        let lease = Lease::new(key, me.clone(), Proximity::Near, options.lease, seed);
         Self {
             me,
             data_centre,
@@ -97,9 +97,9 @@
     }
 
     /// How each deployment stands in the domains that are held, summed over them.
-    pub fn figures(&self, now: TimeMs) -> Vec<DeploymentFigures> {
+    pub fn figures(&self, now: TimeMs) -> Vec<DeploymentStatus> {
         let inputs = self.inputs();
-        let mut sums: BTreeMap<DeploymentName, DeploymentFigures> = BTreeMap::new();
+        let mut sums: BTreeMap<DeploymentName, DeploymentStatus> = BTreeMap::new();
         for figures in self.domains.values().flat_map(|domain| domain.figures(now, inputs)) {
             match sums.get_mut(&figures.deployment) {
                 None => drop(sums.insert(figures.deployment.clone(), figures)),
@@ -291,8 +291,8 @@
                 continue;
             }
             let nearness = match *data_centre == self.data_centre {
-                true => Nearness::Near,
-                false => Nearness::Far,
+                true => Proximity::Near,
+                false => Proximity::Far,
             };
             // Another seed for each lease, or one controller would come first for all of them.
             let seed = name.as_str().bytes().fold(self.seed, |seed, byte| {
--- a/crates/placement/src/domain/mod.rs
+++ b/crates/placement/src/domain/mod.rs
@@ -1,25 +1,25 @@
-//! Which VMs of a fabric domain form which replica, and the orders that follow.
+//! Assignment of the VMs of a fabric domain to replicas, and the resulting orders.
 
-mod breaking;
 mod draft;
 mod draining;
-mod figures;
 mod forming;
-mod memory;
-mod mending;
 mod order;
 mod planner;
+mod planner_state;
+mod preemption;
 mod releasing;
+mod repairing;
 mod settings;
+mod status;
 mod view;
 mod vm_state;
 
-pub use figures::{DeploymentFigures, broken_replicas, figures};
 pub use order::{MemberOrder, orders};
 pub use planner::{DomainPlanner, empty_placement};
 pub use settings::PlacementSettings;
-pub use view::{DomainView, Wanted};
-pub use vm_state::{TimedReport, VmState, VmStay};
+pub use status::{DeploymentStatus, broken_replicas, deployment_statuses};
+pub use view::{DomainView, WantedDeployment};
+pub use vm_state::{TimedReport, VmAvailability, VmState};
 
 pub(crate) use draft::{Draft, MemberState};
-pub(crate) use memory::Memory;
+pub(crate) use planner_state::PlannerState;
