--- a/crates/forming/src/domain/domain_planner.rs
+++ b/crates/forming/src/domain/domain_planner.rs
@@ -237,9 +237,9 @@
 
     /// Drops the state of targets and replicas that are no longer listed.
     fn drop_unlisted_state(&mut self, view: FormingView<'_>) {
-        self.unreachable.retain(|name, _| view.fleet.known(name).is_some());
+        self.unreachable.retain(|name, _| view.fleet.target_or_removed(name).is_some());
         self.departing.retain(|name, _| {
-            view.fleet.known(name).is_some() && view.fleet.target(name).is_none()
+            view.fleet.target_or_removed(name).is_some() && view.fleet.target(name).is_none()
         });
         self.staging.retain(|name, _| view.fleet.target(name).is_some());
         self.stage_backoff.retain(|name, _| view.fleet.target(name).is_some());
--- a/crates/forming/tests/common/mod.rs
+++ b/crates/forming/tests/common/mod.rs
@@ -368,7 +368,7 @@
         self.check_join(target, order);
         let refuses = self.refuses_stage.contains(target);
         match self.targets.get_mut(target) {
-            None => OrderOutcome::Gone,
+            None => OrderOutcome::TargetRemoved,
             Some(fake) if !fake.alive => OrderOutcome::Unanswered,
             Some(fake) => fake.apply(self.now, order, refuses),
         }
@@ -405,7 +405,7 @@
         // Loads beyond the limit of the weights store share its bandwidth.
         self.callers_served |= self.traffic_seen;
         let share = match self.callers_served {
-            true => profile().loads_at_once / self.loads_under_way().max(1) as f64,
+            true => profile().concurrent_loads / self.loads_under_way().max(1) as f64,
             false => 1.0,
         };
         let loaded_ms = STEP_MS as f64 * share.min(1.0);
--- a/crates/gateway/src/control/targets.rs
+++ b/crates/gateway/src/control/target_client.rs
@@ -5,7 +5,7 @@
 use celeryhaven_fleet::{OrderOutcome, TargetOrder};
 use celeryhaven_forming::Reachability;
 use celeryhaven_http::{ConnectionError, ConnectionPool};
-use celeryhaven_peers::NodeProbe;
+use celeryhaven_peers::ProbeResult;
 use celeryhaven_types::VmName;
 use http::header::{CONTENT_TYPE, HOST};
 use http::response::Parts;
@@ -14,29 +14,24 @@
 use smol::Timer;
 
 use crate::adapter::Adapter;
-use crate::http::CUT_OFF;
+use crate::http::CUT_OFF_HEADER;
 
-/// How long an order may take to be answered.
-///
-/// A sound target answers within a few milliseconds; every order may be sent again.
+/// Timeout of an order. Orders can be repeated safely.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a probe may take to be answered.
-///
-/// A report takes no slot, so a sound target answers it within some milliseconds whatever its
-/// load.
+/// Timeout of a probe; answering one takes no slot, so load does not delay it.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Calls targets for the control thread.
+/// Client for targets and other nodes.
 #[derive(Clone)]
-pub(crate) struct TargetCalls<A> {
+pub(crate) struct TargetClient<A> {
     pub(crate) adapter: A,
-    pub(crate) channels: ConnectionPool,
+    pub(crate) connections: ConnectionPool,
 }
 
-impl<A: Adapter> TargetCalls<A> {
-    /// Sends an order.
-    pub(crate) async fn order(
+impl<A: Adapter> TargetClient<A> {
+    /// Sends an order to a target.
+    pub(crate) async fn send_order(
         &self,
         name: &VmName,
         address: SocketAddr,
@@ -52,14 +47,14 @@
         match self.exchange(address, request, ORDER_TIMEOUT).await {
             Some(Ok(answer)) => self.adapter.order_outcome(answer.status),
             Some(Err(ConnectionError::Connect { source })) if is_refused(&source) => {
-                OrderOutcome::Gone
+                OrderOutcome::TargetRemoved
             }
             Some(Err(_)) | None => OrderOutcome::Unanswered,
         }
     }
 
-    /// Asks for a report, to see whether the target can be reached.
-    pub(crate) async fn probe(&self, address: SocketAddr) -> Reachability {
+    /// Requests a report to find out whether the target is reachable.
+    pub(crate) async fn probe_target(&self, address: SocketAddr) -> Reachability {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = http::Uri::from_static(self.adapter.paths().report);
         match self.exchange(address, request, PROBE_TIMEOUT).await {
@@ -71,19 +66,19 @@
         }
     }
 
-    /// Asks a node whether it takes requests.
-    pub(crate) async fn probe_node(&self, address: SocketAddr) -> NodeProbe {
+    /// Probes the readiness endpoint of a node.
+    pub(crate) async fn probe_node(&self, address: SocketAddr) -> ProbeResult {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = http::Uri::from_static(self.adapter.paths().ready);
         match self.exchange(address, request, PROBE_TIMEOUT).await {
-            Some(Ok(answer)) if answer.status != StatusCode::OK => NodeProbe::NotReady,
-            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF) => NodeProbe::CutOff,
-            Some(Ok(_)) => NodeProbe::Ready,
-            Some(Err(_)) | None => NodeProbe::Silent,
+            Some(Ok(answer)) if answer.status != StatusCode::OK => ProbeResult::NotReady,
+            Some(Ok(answer)) if answer.headers.contains_key(CUT_OFF_HEADER) => ProbeResult::CutOff,
+            Some(Ok(_)) => ProbeResult::Ready,
+            Some(Err(_)) | None => ProbeResult::Unanswered,
         }
     }
 
-    /// One exchange; `None` if it took too long.
+    /// Sends a request; returns `None` on a timeout.
     async fn exchange(
         &self,
         address: SocketAddr,
@@ -99,21 +94,21 @@
         };
         let exchange = async {
             let answer = async {
-                let (mut channel, is_new) = self.channels.take(address).await?;
-                match channel.send(request.clone()).await {
+                let (mut connection, is_new) = self.connections.take(address).await?;
+                match connection.send(request.clone()).await {
                     Err(ConnectionError::Closed) if !is_new => {
-                        channel = self.channels.connect(address).await?;
-                        let response = channel.send(request).await?;
-                        Ok((channel, response))
+                        connection = self.connections.connect(address).await?;
+                        let response = connection.send(request).await?;
+                        Ok((connection, response))
                     }
                     Err(error) => Err(error),
-                    Ok(response) => Ok((channel, response)),
+                    Ok(response) => Ok((connection, response)),
                 }
             };
             Some(match answer.await {
-                Ok((channel, response)) => {
+                Ok((connection, response)) => {
                     let (parts, body) = response.into_parts();
-                    self.finish(address, channel, &parts, body).await;
+                    self.finish(address, connection, &parts, body).await;
                     Ok(parts)
                 }
                 Err(error) => Err(error),
@@ -122,18 +117,18 @@
         smol::future::or(exchange, late).await
     }
 
-    /// Reads the answer to its end, so that the channel can be kept.
+    /// Reads the rest of the answer and returns the connection to the pool.
     async fn finish(
         &self,
         address: SocketAddr,
-        mut channel: celeryhaven_http::Connection,
+        mut connection: celeryhaven_http::Connection,
         head: &Parts,
         body: hyper::body::Incoming,
     ) {
-        let closes = self.adapter.answer_head(head.status, &head.headers).closes;
-        let whole = http_body_util::BodyExt::collect(body).await.is_ok();
-        if whole && !closes && channel.wait_idle().await {
-            self.channels.put(address, channel, None);
+        let closes = self.adapter.answer_head(head.status, &head.headers).closes_connection;
+        let is_complete = http_body_util::BodyExt::collect(body).await.is_ok();
+        if is_complete && !closes && connection.wait_idle().await {
+            self.connections.put(address, connection, None);
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/traffic/dispatcher.rs
@@ -0,0 +1,215 @@
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::{Receiver, Sender};
+use celeryhaven_clock::BootClock;
+use celeryhaven_http::ConnectionPool;
+use celeryhaven_policy::Ticket;
+use celeryhaven_telemetry::GatewayMetrics;
+use celeryhaven_types::{TimeMs, Verdict};
+use slog::{Logger, info};
+use smol::LocalExecutor;
+
+use crate::adapter::{Adapter, ReportedLoad};
+use crate::traffic::dispatch_state::{DispatchState, Instruction};
+use crate::traffic::{CallerRequest, DestinationName, TrafficReport, TrafficUpdate};
+
+/// Interval between two checks of queues and stalled replicas.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+
+/// Ticks between two reports of offered load.
+const TICKS_PER_LOAD_REPORT: u32 = 20;
+
+/// State that all exchanges of the process share, owned by the traffic thread.
+pub(crate) struct Dispatcher<A> {
+    pub(crate) adapter: A,
+    pub(crate) executor: Rc<LocalExecutor<'static>>,
+    pub(crate) connections: ConnectionPool,
+    pub(crate) state: RefCell<DispatchState>,
+    pub(crate) metrics: GatewayMetrics,
+    pub(crate) log: Logger,
+    reports: Sender<TrafficReport>,
+    first_request_seen: Cell<bool>,
+    ticks: Cell<u32>,
+}
+
+impl<A: Adapter> Dispatcher<A> {
+    /// Creates a dispatcher without destinations.
+    pub(crate) fn new(
+        adapter: A,
+        executor: Rc<LocalExecutor<'static>>,
+        connections: ConnectionPool,
+        state: DispatchState,
+        metrics: GatewayMetrics,
+        log: Logger,
+        reports: Sender<TrafficReport>,
+    ) -> Rc<Self> {
+        let (state, first_request_seen, ticks) =
+            (RefCell::new(state), Cell::new(false), Cell::new(0));
+        Rc::new(Self {
+            adapter,
+            executor,
+            connections,
+            state,
+            metrics,
+            log,
+            reports,
+            first_request_seen,
+            ticks,
+        })
+    }
+
+    /// Returns the current time.
+    pub(crate) fn now(&self) -> TimeMs {
+        BootClock.now()
+    }
+
+    /// Applies updates of the control thread until the process ends.
+    pub(crate) async fn apply_updates(self: Rc<Self>, updates: Receiver<TrafficUpdate>) {
+        while let Ok(mut update) = updates.recv().await {
+            while let Ok(newer) = updates.try_recv() {
+                update = newer;
+            }
+            let now = self.now();
+            let mut state = self.state.borrow_mut();
+            state.routes = update.routes;
+            state.addresses = update.addresses;
+            state.ready = update.ready;
+            state.cut_off_until = update.cut_off_until;
+            state.set_senders(now, update.senders);
+            state.set_destinations(now, update.destinations);
+        }
+    }
+
+    /// Processes timers that are due until the process ends.
+    pub(crate) async fn run_timers(self: Rc<Self>) {
+        loop {
+            smol::Timer::after(TICK_INTERVAL).await;
+            let stalled = self.state.borrow_mut().tick(self.now());
+            for name in stalled {
+                self.suspect_replica(&name, "streams stand still");
+            }
+            self.metrics.queued.set(self.state.borrow().queued() as i64);
+            self.report_offered_load();
+        }
+    }
+
+    fn report_offered_load(&self) {
+        self.ticks.set(self.ticks.get().wrapping_add(1));
+        if !self.ticks.get().is_multiple_of(TICKS_PER_LOAD_REPORT) {
+            return;
+        }
+        let offered = self.state.borrow_mut().take_offered_load();
+        if !offered.is_empty() {
+            self.notify_control(TrafficReport::Offered(offered));
+        }
+    }
+
+    /// Registers a request; the receiver yields the instructions for it.
+    pub(crate) fn register(&self, request: &CallerRequest) -> (Ticket, Receiver<Instruction>) {
+        if !self.first_request_seen.replace(true) {
+            self.notify_control(TrafficReport::FirstRequest);
+        }
+        // Capacity for a cancellation and the instruction that follows it.
+        let (sender, instructions) = async_channel::bounded(4);
+        let ticket = self.state.borrow_mut().register(self.now(), request, sender);
+        (ticket, instructions)
+    }
+
+    /// Records the first event of a stream, or the head of a plain answer.
+    pub(crate) fn started(&self, ticket: Ticket, is_stream: bool) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        if let Some(active) = state.active_requests.get_mut(&ticket)
+            && is_stream
+            && !active.streaming
+            && let Some(name) = &active.destination
+        {
+            active.streaming = true;
+            state.stall_detector.stream_started(now, name);
+        }
+        state.notify_pool(ticket, |pool, out| pool.started(now, ticket, out));
+    }
+
+    /// Records that a stream of the destination has produced an event.
+    pub(crate) fn progressed(&self, name: &DestinationName) {
+        let now = self.now();
+        self.state.borrow_mut().stall_detector.event_received(now, name);
+    }
+
+    /// Records the load that a target has reported.
+    pub(crate) fn load_reported(&self, ticket: Ticket, name: &DestinationName, load: ReportedLoad) {
+        let now = self.now();
+        self.state
+            .borrow_mut()
+            .notify_pool(ticket, |pool, out| pool.load_reported(now, name, load, out));
+    }
+
+    /// Records that the caller has the complete answer.
+    pub(crate) fn completed(&self, ticket: Ticket, events: u32, request: &CallerRequest) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        state.notify_pool(ticket, |pool, out| {
+            let allowed = request.events_allowed(pool.tokens_per_event);
+            pool.completed(now, ticket, (events, allowed), out);
+        });
+        state.remove(ticket);
+    }
+
+    /// Records an attempt without a complete answer; an instruction follows.
+    pub(crate) fn attempt_failed(&self, ticket: Ticket, verdict: Verdict) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        if let Some(active) = state.active_requests.get_mut(&ticket) {
+            if active.streaming
+                && let Some(name) = &active.destination
+            {
+                state.stall_detector.stream_finished(name);
+            }
+            active.streaming = false;
+            active.destination = None;
+        }
+        state.notify_pool(ticket, |pool, out| pool.attempt_failed(now, ticket, verdict, out));
+    }
+
+    /// Records a request that ends without an answer from a target.
+    pub(crate) fn abandoned(&self, ticket: Ticket) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        state.notify_pool(ticket, |pool, out| pool.abandoned(now, ticket, out));
+        state.remove(ticket);
+    }
+
+    /// Removes a request that the policy has refused.
+    pub(crate) fn refused(&self, ticket: Ticket) {
+        self.state.borrow_mut().remove(ticket);
+    }
+
+    /// Suspects a destination, cancels its repeatable requests, and notifies the control thread.
+    pub(crate) fn suspect_replica(&self, name: &DestinationName, why: &'static str) {
+        self.state.borrow_mut().suspect(self.now(), name);
+        let DestinationName::Replica(key) = name else { return };
+        info!(self.log, "replica suspected";
+            "replica" => key.replica.as_str(), "generation" => key.generation.get(), "why" => why);
+        self.notify_control(TrafficReport::Suspected(key.clone()));
+    }
+
+    /// Sends no new requests to a replica whose head refuses them because a member is missing.
+    ///
+    /// A head that is closing refuses in the same way, so its running streams are left alone. A
+    /// head that has lost a member ends its streams itself.
+    pub(crate) fn avoid_replica(&self, name: &DestinationName) {
+        self.state.borrow_mut().exclude(self.now(), name);
+        let DestinationName::Replica(key) = name else { return };
+        info!(self.log, "replica refuses";
+            "replica" => key.replica.as_str(), "generation" => key.generation.get());
+    }
+
+    /// Sends a report to the control thread; a lost report only delays its reaction.
+    pub(crate) fn notify_control(&self, report: TrafficReport) {
+        self.reports.try_send(report).unwrap_or_default();
+    }
+}
--- a/crates/gateway/src/traffic/update.rs
+++ b/crates/gateway/src/traffic/update.rs
@@ -6,10 +6,10 @@
 use celeryhaven_types::{ModelName, ServiceName, TimeMs, VmName};
 
 state! {
-    /// Something that requests can be sent to.
+    /// Identifies a destination.
     #[derive(Eq, Hash, PartialOrd, Ord)]
-    pub(crate) enum RoutableName {
-        /// A whole replica; its head takes the requests.
+    pub(crate) enum DestinationName {
+        /// A whole replica, whose head takes the requests.
         Replica(ReplicaKey),
         /// A target of a plain service.
         Plain(VmName),
@@ -17,24 +17,24 @@
 
     /// A whole replica, or a target of a plain service.
     #[derive(Eq)]
-    pub(crate) struct Routable {
-        /// Names it.
-        pub(crate) name: RoutableName,
-        /// The service that it belongs to.
+    pub(crate) struct Destination {
+        /// The unique name.
+        pub(crate) name: DestinationName,
+        /// The service to which it belongs.
         pub(crate) service: ServiceName,
-        /// The model that it serves; `None` for a plain service.
+        /// The served model; `None` for a plain service.
         pub(crate) model: Option<ModelName>,
         /// The target that takes the requests.
         pub(crate) target: VmName,
-        /// Where it listens.
+        /// The address of that target.
         pub(crate) address: SocketAddr,
-        /// Requests that it runs side by side.
+        /// Maximum number of concurrent requests.
         pub(crate) slots: u32,
     }
 }
 
-impl RoutableName {
-    /// The replica's or the target's name.
+impl DestinationName {
+    /// Returns the name of the replica or target.
     pub(crate) fn as_str(&self) -> &str {
         match self {
             Self::Replica(key) => key.replica.as_str(),
@@ -43,58 +43,58 @@
     }
 }
 
-/// What traffic may use from now on.
+/// The state that the control thread publishes to traffic.
 #[derive(Clone, Debug)]
 pub(crate) struct TrafficUpdate {
-    /// The configuration in force; `None` while none is known.
+    /// The configuration in force; `None` until one has been received.
     pub(crate) routes: Option<Arc<RouteTable>>,
-    /// Everything that requests may be sent to.
-    pub(crate) routables: Arc<[Routable]>,
-    /// Addresses of the nodes that take requests, this one among them if it does.
+    /// All destinations for requests.
+    pub(crate) destinations: Arc<[Destination]>,
+    /// Addresses of the nodes that accept requests, including this node's if it does.
     pub(crate) addresses: Vec<SocketAddr>,
-    /// Live nodes that send to the same targets, this one included.
-    pub(crate) sharers: u32,
-    /// Whether this node takes requests.
+    /// Number of live nodes that send to the same targets, including this one.
+    pub(crate) senders: u32,
+    /// Whether this node accepts requests.
     pub(crate) ready: bool,
-    /// Until when this node counts as cut off from the store.
+    /// Time until which this node counts as cut off from the store.
     pub(crate) cut_off_until: Option<TimeMs>,
 }
 
 impl TrafficUpdate {
-    /// Whether it tells the same as another; what is shared is compared by identity.
+    /// Whether two updates are equal; shared values are compared by identity.
     pub(crate) fn is_same_as(&self, other: &Self) -> bool {
         let routes = match (&self.routes, &other.routes) {
             (Some(own), Some(others)) => Arc::ptr_eq(own, others),
             (own, others) => own.is_none() && others.is_none(),
         };
         routes
-            && Arc::ptr_eq(&self.routables, &other.routables)
+            && Arc::ptr_eq(&self.destinations, &other.destinations)
             && self.addresses == other.addresses
-            && self.sharers == other.sharers
+            && self.senders == other.senders
             && self.ready == other.ready
             && self.cut_off_until == other.cut_off_until
     }
 }
 
 state! {
-    /// Work that callers have offered for one model.
-    pub(crate) struct OfferedWork {
+    /// Load that callers have offered for one model.
+    pub(crate) struct OfferedLoad {
         /// The model.
         pub(crate) model: ModelName,
-        /// Time in a slot that it takes, in milliseconds.
+        /// Slot time that the load needs, in milliseconds.
         pub(crate) slot_ms: f64,
     }
 }
 
-/// What traffic tells the control thread.
+/// A report from traffic to the control thread.
 #[derive(Clone, Debug)]
 pub(crate) enum TrafficReport {
-    /// A caller's first request has come.
+    /// The first caller request was received.
     FirstRequest,
-    /// The requests at a replica stand still together.
+    /// All streams of a replica have stalled, or no connection to its head could be made.
     Suspected(ReplicaKey),
-    /// A target is named as lost, or refuses connections.
-    Accused(VmName),
-    /// Work that callers have offered since the last time.
-    Offered(Vec<OfferedWork>),
+    /// A target was reported as lost, or no connection to it could be made.
+    LossReported(VmName),
+    /// Load that callers have offered since the last report.
+    Offered(Vec<OfferedLoad>),
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,13 +1,13 @@
 //! Placement of replicas on VMs and the operators' plan, without I/O.
 //!
-//! | module | what it decides |
+//! | module | result |
 //! |---|---|
-//! | [`allocation`] | how many replicas of each deployment each fabric domain gets, in which version |
-//! | [`domain`] | which VMs of a fabric domain form which replica, and the orders that follow |
-//! | [`plan`] | what a changed intent would form, stop and replace, and for whom |
+//! | [`allocation`] | number and version of a deployment's replicas in each fabric domain |
+//! | [`domain`] | the replica that each VM of a fabric domain belongs to, and the resulting orders |
+//! | [`plan`] | replicas that a changed intent would form, stop and replace, and who uses them |
 //!
-//! All of it is plain functions of what is known now. The only memory is since when something has
-//! been so; a new holder of a lease starts that anew, which only makes it wait longer.
+//! The only state is when a condition was first observed. A new lease holder starts without it and
+//! therefore waits longer.
 
 pub mod allocation;
 pub mod domain;
@@ -15,7 +15,8 @@
 
 pub use allocation::{Allocation, DomainCapacity, Share, allocate, replicas_unplaced};
 pub use domain::{
-    DeploymentFigures, DomainPlanner, DomainView, MemberOrder, PlacementSettings, TimedReport,
-    VmState, VmStay, Wanted, broken_replicas, empty_placement, figures, orders,
+    DeploymentStatus, DomainPlanner, DomainView, MemberOrder, PlacementSettings, TimedReport,
+    VmAvailability, VmState, WantedDeployment, broken_replicas, deployment_statuses,
+    empty_placement, orders,
 };
 pub use plan::{describe, drain_summary, make_plan};
--- a/crates/spread/tests/common/store.rs
+++ b/crates/spread/tests/common/store.rs
@@ -61,7 +61,7 @@
                 self.watches.push(Watch { caller, prefix, from: from.get(), until: now + wait_ms });
                 return Vec::new();
             }
-            _ => StoreReply::NotDone,
+            _ => StoreReply::Rejected,
         };
         vec![(node, boot, feed, reply)]
     }
--- a/crates/types/src/placement/mod.rs
+++ b/crates/types/src/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Which VM belongs to which replica.
+//! Assignment of VMs to replicas.
 
 mod domain;
 mod replica;
 
-pub use domain::{DomainPlacement, Releasing};
+pub use domain::{DomainPlacement, ReleasingVm};
 pub use replica::{Replica, ReplicaPhase};
