--- a/crates/controller/src/args/command_line.rs
+++ b/crates/controller/src/args/command_line.rs
@@ -3,41 +3,41 @@
 use snafu::{ResultExt, Snafu, ensure};
 
 state! {
-    /// What the process was started with.
+    /// Command-line arguments of the process.
     pub struct Args {
-        /// Its settings file.
+        /// Path of the settings file.
         pub settings: String,
     }
 }
 
-/// Why a command line was refused.
+/// Reasons to reject a command line.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum ArgsError {
-    /// The option is missing or has no value.
-    #[snafu(display("give the settings file with `--settings FILE`: {source}"))]
+    /// `--settings` is missing or has no value.
+    #[snafu(display("the settings file is required, as `--settings FILE`: {source}"))]
     Settings {
-        /// What was wrong.
+        /// The cause.
         source: pico_args::Error,
     },
-    /// Something is left that no option takes.
-    #[snafu(display("remove what no option takes: {rest}"))]
+    /// Unexpected arguments.
+    #[snafu(display("unexpected arguments: {rest}"))]
     Rest {
-        /// What is left.
+        /// The unexpected arguments.
         rest: String,
     },
 }
 
 impl Args {
-    /// What `--help` prints.
+    /// The output of `--help`.
     pub const HELP: &str = "Forms replicas, orders targets and answers operators.\n\n\
         Usage: celeryhaven-controller --settings FILE\n\n\
         Options:\n  --settings FILE  settings of this controller, in YAML\n  \
-        -h, --help       this text\n\n\
-        It stops at SIGTERM or SIGINT, after giving up its leases.\n\
-        Exit codes: 0 stopped as told, 1 failed while running, 2 settings or command line refused";
+        -h, --help       print help\n\n\
+        It stops on SIGTERM or SIGINT, after releasing its leases.\n\
+        Exit codes: 0 stopped by a signal, 1 failed while running, 2 settings or command line rejected";
 
-    /// Reads the command line of this process; `None` if it asks for help.
+    /// Parses the command line of this process; `None` if it requests help.
     pub fn from_env() -> Result<Option<Self>, ArgsError> {
         let mut arguments = Arguments::from_env();
         if arguments.contains(["-h", "--help"]) {
--- a/crates/controller/src/control/control_loop.rs
+++ b/crates/controller/src/control/control_loop.rs
@@ -11,32 +11,32 @@
 use celeryhaven_types::{OperatorName, OperatorReply, TimeMs};
 use slog::{Logger, debug, info};
 
-use crate::control::{Carrier, Message, Question, Watch};
+use crate::control::{ControlProgress, Executor, Message, OperatorMessage};
 use celeryhaven_clock::{BootClock, unix_ms};
 
-/// A tick that begins this much later than it was due counts as late, in milliseconds.
-const LATE_MS: u64 = 20;
-/// How often gauges and the CPU time of the thread are noted, in milliseconds.
-const NOTE_MS: u64 = 1_000;
+/// Delay from which a tick counts as late, in milliseconds.
+const LATE_TICK_MS: u64 = 20;
+/// Interval at which gauges and the thread's CPU time are recorded, in milliseconds.
+const GAUGE_INTERVAL_MS: u64 = 1_000;
 
-/// An operator who waits for an answer.
-struct Asker {
+/// An operator request that waits for its reply.
+struct PendingReply {
     operator: OperatorName,
     answer: async_channel::Sender<OperatorReply>,
 }
 
-/// Drives the state machine: waits for messages and time, carries out what it wants.
+/// Runs the state machine: waits for messages and timers, and dispatches its actions.
 pub(crate) struct ControlLoop {
     pub(crate) node: ControllerNode,
-    pub(crate) carrier: Carrier,
+    pub(crate) executor: Executor,
     pub(crate) metrics: ControllerMetrics,
-    pub(crate) watch: Watch,
+    pub(crate) progress: ControlProgress,
     pub(crate) log: Logger,
     clock: BootClock,
-    askers: BTreeMap<OperatorTicket, Asker>,
+    pending_replies: BTreeMap<OperatorTicket, PendingReply>,
     last_ticket: OperatorTicket,
     actions: Vec<ControllerAction>,
-    noted_at: TimeMs,
+    gauges_updated_at: TimeMs,
     cpu_ms: u64,
     has_left: bool,
 }
@@ -44,22 +44,22 @@
 impl ControlLoop {
     pub(crate) fn new(
         node: ControllerNode,
-        carrier: Carrier,
+        executor: Executor,
         metrics: ControllerMetrics,
-        watch: Watch,
+        progress: ControlProgress,
         log: Logger,
     ) -> Self {
         Self {
             node,
-            carrier,
+            executor,
             metrics,
-            watch,
+            progress,
             log,
             clock: BootClock,
-            askers: BTreeMap::new(),
+            pending_replies: BTreeMap::new(),
             last_ticket: OperatorTicket::default(),
             actions: Vec::new(),
-            noted_at: TimeMs::default(),
+            gauges_updated_at: TimeMs::default(),
             cpu_ms: 0,
             has_left: false,
         }
@@ -69,42 +69,45 @@
     pub(crate) fn run(mut self, inbox: &Receiver<Message>) {
         while !self.has_left {
             let now = self.clock.now();
-            self.watch.looked(now);
-            self.note(now);
+            self.progress.record_activity(now);
+            self.update_gauges(now);
             let Some(due) = self.node.next_wake() else { return };
             if due <= now {
                 self.metrics.process.control_ticks.inc();
-                // The first tick is due at the clock's zero, long before the process began.
-                if due.get() > 0 && now.since(due) > LATE_MS {
+                // The first tick is due at the clock's zero, long before the process started.
+                if due.get() > 0 && now.since(due) > LATE_TICK_MS {
                     self.metrics.process.control_ticks_late.inc();
                 }
-                self.hear(now, ControllerEvent::Tick);
+                self.handle_event(now, ControllerEvent::Tick);
                 continue;
             }
             match inbox.recv_timeout(Duration::from_millis(due.since(now))) {
-                Ok(message) => self.take(message),
+                Ok(message) => self.handle_message(message),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
         match message {
-            Message::Event(event) => self.hear(now, event),
-            Message::Question(Question { operator, request, answer }) => {
+            Message::Event(event) => self.handle_event(now, event),
+            Message::OperatorMessage(OperatorMessage { operator, request, answer }) => {
                 self.last_ticket = self.last_ticket.next();
-                let asker = Asker { operator: operator.clone(), answer };
-                self.askers.insert(self.last_ticket, asker);
+                let pending = PendingReply { operator: operator.clone(), answer };
+                self.pending_replies.insert(self.last_ticket, pending);
                 let ticket = self.last_ticket;
                 let at_unix_ms = unix_ms();
-                self.hear(now, ControllerEvent::Operator { ticket, operator, request, at_unix_ms });
+                self.handle_event(
+                    now,
+                    ControllerEvent::Operator { ticket, operator, request, at_unix_ms },
+                );
             }
         }
     }
 
-    fn hear(&mut self, now: TimeMs, event: ControllerEvent) {
+    fn handle_event(&mut self, now: TimeMs, event: ControllerEvent) {
         self.metrics.process.control_events.inc();
         self.node.handle(now, event, &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
@@ -112,15 +115,15 @@
                 ControllerAction::Answer { ticket, reply } => self.answer(ticket, reply),
                 ControllerAction::Left => self.has_left = true,
                 action => {
-                    self.note_write(&action);
-                    self.carrier.carry_out(action);
+                    self.log_write(&action);
+                    self.executor.execute(action);
                 }
             }
         }
     }
 
-    /// Leaves a trace of every placement and allocation that this process writes.
-    fn note_write(&self, action: &ControllerAction) {
+    /// Logs every placement and allocation that this process writes.
+    fn log_write(&self, action: &ControllerAction) {
         let ControllerAction::Store { request: StoreRequest::Update { key, value, .. }, .. } =
             action
         else {
@@ -132,7 +135,7 @@
     }
 
     fn answer(&mut self, ticket: OperatorTicket, reply: OperatorReply) {
-        let Some(asker) = self.askers.remove(&ticket) else { return };
+        let Some(pending) = self.pending_replies.remove(&ticket) else { return };
         let outcome = match &reply {
             OperatorReply::Refused(refusal) => refusal.code(),
             OperatorReply::Accepted(record) => {
@@ -144,19 +147,19 @@
             _ => "answered",
         };
         info!(self.log, "operator request ended";
-            "operator" => %asker.operator, "outcome" => outcome);
-        // The operator may have gone away; what was accepted stays accepted.
-        let _ = asker.answer.try_send(reply);
+            "operator" => %pending.operator, "outcome" => outcome);
+        // The operator may have disconnected.
+        let _ = pending.answer.try_send(reply);
     }
 
-    /// Brings the gauges up to date and says which leases came or went.
-    fn note(&mut self, now: TimeMs) {
-        if now.since(self.noted_at) < NOTE_MS {
+    /// Updates the gauges and logs changes of the number of held leases.
+    fn update_gauges(&mut self, now: TimeMs) {
+        if now.since(self.gauges_updated_at) < GAUGE_INTERVAL_MS {
             return;
         }
-        let span_s = now.since(self.noted_at) as f64 / 1_000.0;
-        let is_first = self.noted_at == TimeMs::default();
-        self.noted_at = now;
+        let span_s = now.since(self.gauges_updated_at) as f64 / 1_000.0;
+        let is_first = self.gauges_updated_at == TimeMs::default();
+        self.gauges_updated_at = now;
         let process = &self.metrics.process;
         let cpu_ms = self.clock.thread_cpu_ms();
         process.control_cpu.inc_by((cpu_ms - self.cpu_ms) as f64 / 1_000.0);
@@ -169,11 +172,11 @@
             info!(self.log, "leases changed"; "leases_held" => held);
         }
         if !is_first {
-            self.note_deployments(now, span_s);
+            self.update_deployment_gauges(now, span_s);
         }
     }
 
-    fn note_deployments(&self, now: TimeMs, span_s: f64) {
+    fn update_deployment_gauges(&self, now: TimeMs, span_s: f64) {
         for figures in self.node.figures(now) {
             let deployment = figures.deployment.to_string();
             let label = DeploymentLabel { deployment };
--- a/crates/controller/src/control/carrier.rs
+++ b/crates/controller/src/control/executor.rs
@@ -8,9 +8,9 @@
 use crate::control::{Inbox, Message};
 use crate::members::Members;
 
-/// Carries out what the state machine wants, each in a task of its own.
+/// Executes the actions of the state machine, each in a task of its own.
 #[derive(Clone)]
-pub(crate) struct Carrier {
+pub(crate) struct Executor {
     store: StoreClient,
     members: Members,
     inbox: Inbox,
@@ -18,7 +18,7 @@
     log: Logger,
 }
 
-impl Carrier {
+impl Executor {
     pub(crate) const fn new(
         store: StoreClient,
         members: Members,
@@ -29,18 +29,18 @@
         Self { store, members, inbox, metrics, log }
     }
 
-    pub(crate) fn carry_out(&self, action: ControllerAction) {
-        let carrier = self.clone();
+    pub(crate) fn execute(&self, action: ControllerAction) {
+        let executor = self.clone();
         smol::spawn(async move {
-            if let Some(event) = carrier.event_of(action).await {
-                // The control thread has ended: nobody needs to know any more.
-                let _ = carrier.inbox.send(Message::Event(event));
+            if let Some(event) = executor.run_action(action).await {
+                // The control thread has ended and needs no event.
+                let _ = executor.inbox.send(Message::Event(event));
             }
         })
         .detach();
     }
 
-    async fn event_of(&self, action: ControllerAction) -> Option<ControllerEvent> {
+    async fn run_action(&self, action: ControllerAction) -> Option<ControllerEvent> {
         match action {
             ControllerAction::Store { call, request } => {
                 let reply = self.store.call(&request).await;
@@ -58,7 +58,7 @@
             }
             ControllerAction::Order { vm, address, order, send_before } => {
                 let outcome = self.members.order(address, &order, send_before).await;
-                self.note_order(&vm, order.order_id, outcome);
+                self.record_order(&vm, order.order_id, outcome);
                 Some(ControllerEvent::Ordered { vm, order_id: order.order_id, outcome })
             }
             ControllerAction::Answer { .. } | ControllerAction::Left => None,
@@ -69,7 +69,7 @@
         self.metrics.process.calls.get_or_create(&OutcomeLabel { call, outcome }).inc();
     }
 
-    fn note_order(&self, vm: &celeryhaven_types::VmName, order_id: u64, outcome: OrderOutcome) {
+    fn record_order(&self, vm: &celeryhaven_types::VmName, order_id: u64, outcome: OrderOutcome) {
         let text = match outcome {
             OrderOutcome::Accepted => "accepted",
             OrderOutcome::OldFence { .. } => "old_fence",
--- a/crates/controller/src/control/message.rs
+++ b/crates/controller/src/control/message.rs
@@ -3,19 +3,19 @@
 use celeryhaven_node::ControllerEvent;
 use celeryhaven_types::{OperatorName, OperatorReply, OperatorRequest};
 
-/// How other threads reach the control thread.
+/// Channel to the control thread.
 pub(crate) type Inbox = Sender<Message>;
 
-/// What the control thread is told.
+/// A message to the control thread.
 pub(crate) enum Message {
-    /// Something happened.
+    /// An event for the state machine.
     Event(ControllerEvent),
-    /// An operator asks.
-    Question(Question),
+    /// An operator request.
+    OperatorMessage(OperatorMessage),
 }
 
-/// A request of an operator and where its answer goes.
-pub(crate) struct Question {
+/// A request of an operator and the channel for its reply.
+pub(crate) struct OperatorMessage {
     pub(crate) operator: OperatorName,
     pub(crate) request: OperatorRequest,
     pub(crate) answer: async_channel::Sender<OperatorReply>,
--- a/crates/controller/src/control/mod.rs
+++ b/crates/controller/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! The thread that drives the state machine.
+//! The thread that runs the state machine.
 
-mod carrier;
 mod control_loop;
+mod executor;
 mod message;
-mod watch;
+mod progress;
 
-pub(crate) use carrier::Carrier;
 pub(crate) use control_loop::ControlLoop;
-pub(crate) use message::{Inbox, Message, Question};
-pub(crate) use watch::Watch;
+pub(crate) use executor::Executor;
+pub(crate) use message::{Inbox, Message, OperatorMessage};
+pub(crate) use progress::ControlProgress;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,16 +1,16 @@
 //! The controller process: forms replicas, orders targets, answers operators.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`args`] | the command line |
-//! | [`process`] | starting, leaving |
-//! | `control` | the thread that drives the state machine |
-//! | `http` | health, readiness, metrics |
+//! | [`process`] | start and stop of the process |
+//! | `control` | the thread that runs the state machine |
+//! | `http` | health, readiness and metrics |
 //! | `members` | polls and orders to members, the VM list |
 //! | `operators` | links of operators |
 //!
-//! One thread drives [`ControllerNode`](celeryhaven_node::ControllerNode) and does nothing else.
-//! Calls, polls, orders and operators' links are tasks on other threads.
+//! One thread only runs [`ControllerNode`](celeryhaven_node::ControllerNode). Calls, polls, orders
+//! and operators' links are tasks on other threads.
 
 pub mod args;
 mod control;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,10 +1,10 @@
-//! Runs a controller until it is told to stop.
+//! Runs a controller until it receives a signal to stop.
 
 use std::process::ExitCode;
 
 use celeryhaven_controller::{Args, run};
 
-/// Exit code of a command line or settings file that is not accepted.
+/// Exit code for a rejected command line or settings file.
 const USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/controller/src/members/client.rs
+++ b/crates/controller/src/members/client.rs
@@ -8,7 +8,7 @@
 use smol::Timer;
 use trillium_client::{Client, Status};
 
-use crate::members::before;
+use crate::members::run_before;
 use celeryhaven_clock::BootClock;
 
 data! {
@@ -17,7 +17,7 @@
         vms: Vec<VmEntry>,
     }
 
-    /// How a member refuses an order.
+    /// Body of a member's refusal of an order.
     struct OrderRefusal {
         error: OrderRefusalError,
     }
@@ -28,12 +28,13 @@
     }
 }
 
-/// Speaks HTTP with members and with the VM list.
+/// HTTP client for members and the VM list.
 #[derive(Clone, Debug)]
 pub(crate) struct Members {
-    /// Keeps connections: each member is polled several times a second.
+    /// Reuses connections, since each member is polled several times a second.
     polls: Client,
-    /// Keeps none: an order must not wait on a connection that a timeout left half used.
+    /// Opens a connection per order, so that an order does not wait on one left in use by a
+    /// timeout.
     orders: Client,
     vm_list: SocketAddr,
     timeout_ms: u64,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A member's report and how long it took to come, in milliseconds.
+    /// Returns a member's report and the duration of the poll in milliseconds.
     pub(crate) async fn poll(&self, address: SocketAddr) -> (u64, PollOutcome) {
         let asked_at = BootClock.now();
         let report = self.get(format!("http://{address}/status"), self.timeout_ms).await;
@@ -58,13 +59,13 @@
         (BootClock.now().since(asked_at), outcome)
     }
 
-    /// The platform's VM list, if it answers.
+    /// Returns the platform's VM list; `None` if the request failed.
     pub(crate) async fn vm_list(&self) -> Option<Vec<VmEntry>> {
         let url = format!("http://{}/vms", self.vm_list);
         self.get::<VmList>(url, self.timeout_ms.max(1_000)).await.map(|list| list.vms)
     }
 
-    /// Sends an order, unless it is too late to begin.
+    /// Sends an order, unless `send_before` has passed.
     pub(crate) async fn order(
         &self,
         address: SocketAddr,
@@ -91,7 +92,7 @@
                 _ => None,
             }
         };
-        before(send_before, exchange).await.flatten().unwrap_or(OrderOutcome::Unknown)
+        run_before(send_before, exchange).await.flatten().unwrap_or(OrderOutcome::Unknown)
     }
 
     async fn get<T: DeserializeOwned>(&self, url: String, timeout_ms: u64) -> Option<T> {
@@ -103,10 +104,10 @@
             let body = conn.response_body().read_bytes().await.ok()?;
             serde_json::from_slice(&body).ok()
         };
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_millis(timeout_ms)).await;
             None
         };
-        smol::future::or(exchange, late).await
+        smol::future::or(exchange, timeout).await
     }
 }
--- a/crates/controller/src/members/deadline.rs
+++ b/crates/controller/src/members/deadline.rs
@@ -8,13 +8,12 @@
 
 use celeryhaven_clock::BootClock;
 
-/// Runs `work` only while it is earlier than `end`; `None` once it is not.
+/// Polls `work` only before `end`; returns `None` once `end` has passed.
 ///
-/// Guards against an order that leaves after a pause. The process may be suspended between two
-/// steps of the exchange, such as connecting and sending; on waking, the readiness of the socket
-/// and the end of the time come at once. So the clock is read before every step, and a step that
-/// would come too late is not taken. What remains is a pause inside one system call.
-pub(crate) async fn before<F: Future>(end: TimeMs, work: F) -> Option<F::Output> {
+/// The clock is read before every poll, so that a process that was suspended in the middle of an
+/// exchange does not send an order after its deadline. A suspension inside one system call remains
+/// possible.
+pub(crate) async fn run_before<F: Future>(end: TimeMs, work: F) -> Option<F::Output> {
     let mut work = pin!(work);
     let left_ms = end.since(BootClock.now());
     let mut timer = Timer::after(Duration::from_millis(left_ms));
--- a/crates/controller/src/members/mod.rs
+++ b/crates/controller/src/members/mod.rs
@@ -4,4 +4,4 @@
 mod deadline;
 
 pub(crate) use client::Members;
-pub(crate) use deadline::before;
+pub(crate) use deadline::run_before;
--- a/crates/controller/src/operators/server.rs
+++ b/crates/controller/src/operators/server.rs
@@ -3,18 +3,18 @@
 use celeryhaven_types::{OperatorName, OperatorRefusal, OperatorReply, OperatorRequest};
 use slog::{Logger, warn};
 
-use crate::control::{Inbox, Message, Question};
+use crate::control::{Inbox, Message, OperatorMessage};
 
-/// How long an operator who has opened a stream may take to ask, in milliseconds.
-const ASK_MS: u64 = 10_000;
+/// Timeout for a request on an opened stream, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 10_000;
 
-/// Takes operators' links until the endpoint is closed.
+/// Accepts operators' links until the endpoint is closed.
 pub(crate) async fn serve(endpoint: LinkEndpoint, inbox: Inbox, log: Logger) {
     while let Some(incoming) = endpoint.accept().await {
         let (endpoint, inbox, log) = (endpoint.clone(), inbox.clone(), log.clone());
         smol::spawn(async move {
             match endpoint.handshake(incoming).await {
-                Ok(link) => converse(link, inbox, log).await,
+                Ok(link) => serve_link(link, inbox, log).await,
                 Err(error) => warn!(log, "an operator's link was refused"; "error" => %error),
             }
         })
@@ -22,8 +22,8 @@
     }
 }
 
-async fn converse(link: Link, inbox: Inbox, log: Logger) {
-    // The endpoint takes operators only; who it is, is what the audit record will say.
+async fn serve_link(link: Link, inbox: Inbox, log: Logger) {
+    // The endpoint accepts operators only; the name goes into the audit record.
     let Identity::Operator(operator) = link.peer().clone() else { return };
     while let Ok(stream) = link.accept().await {
         let (operator, inbox, log) = (operator.clone(), inbox.clone(), log.clone());
@@ -41,7 +41,7 @@
     operator: OperatorName,
     inbox: Inbox,
 ) -> Result<(), LinkError> {
-    let Some(request) = stream.receive_within::<OperatorRequest>(ASK_MS).await? else {
+    let Some(request) = stream.receive_within::<OperatorRequest>(REQUEST_TIMEOUT_MS).await? else {
         return Ok(());
     };
     let reply = match refusal(&request) {
@@ -54,7 +54,7 @@
     stream.finish()
 }
 
-/// Refuses an intent that contradicts itself before it reaches the control thread.
+/// Returns the refusal of an inconsistent intent, before it reaches the control thread.
 fn refusal(request: &OperatorRequest) -> Option<OperatorRefusal> {
     let OperatorRequest::Plan { intent } = request else { return None };
     let problem = check_intent(intent).err()?;
@@ -68,6 +68,6 @@
     inbox: &Inbox,
 ) -> Option<OperatorReply> {
     let (answer, answered) = async_channel::bounded(1);
-    inbox.send(Message::Question(Question { operator, request, answer })).ok()?;
+    inbox.send(Message::OperatorMessage(OperatorMessage { operator, request, answer })).ok()?;
     answered.recv().await.ok()
 }
--- a/crates/controller/src/process/error.rs
+++ b/crates/controller/src/process/error.rs
@@ -4,55 +4,55 @@
 use celeryhaven_settings::SettingsError;
 use snafu::Snafu;
 
-/// Why a controller could not start or had to stop.
+/// Errors that prevent a controller from starting or stop it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum ProcessError {
-    /// The settings are not accepted.
+    /// The settings were rejected.
     #[snafu(display("{source}"))]
     Settings {
-        /// What is wrong.
+        /// The cause.
         source: SettingsError,
     },
     /// The certificate, its key or the operators' address cannot be used.
     #[snafu(display("{source}"))]
     Link {
-        /// What is wrong.
+        /// The cause.
         source: LinkError,
     },
     /// The certificate belongs to another node.
     #[snafu(display("the certificate is {found}'s; give the one of node {node}"))]
     OtherNode {
-        /// Whose it is.
+        /// Name in the certificate.
         found: String,
-        /// Whose it should be.
+        /// Name of this node.
         node: String,
     },
-    /// The port for health and metrics is taken, or not of this machine.
+    /// The address for health checks and metrics cannot be bound.
     #[snafu(display("cannot listen on {address}: {source}; change http_listen"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Signals cannot be heard.
-    #[snafu(display("cannot listen to signals: {source}"))]
+    /// Signal handlers cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The system has no randomness.
+    /// The system's random number generator failed.
     #[snafu(display("cannot get a random number for this boot: {source}"))]
     Random {
-        /// Why.
+        /// The cause.
         source: getrandom::Error,
     },
 }
 
 impl ProcessError {
-    /// The exit code that says it.
+    /// Returns the exit code of the process for this error.
     pub const fn exit_code(&self) -> u8 {
         match self {
             Self::Settings { .. } | Self::Link { .. } | Self::OtherNode { .. } => 2,
--- a/crates/controller/src/process/mod.rs
+++ b/crates/controller/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Starting and leaving.
+//! Start and stop of the process.
 
 mod error;
 mod options;
--- a/crates/ctl/src/args/command.rs
+++ b/crates/ctl/src/args/command.rs
@@ -4,40 +4,40 @@
 use celeryhaven_types::OperatorRequest;
 
 state! {
-    /// What the operator wants.
+    /// A command of the tool.
     pub enum Command {
-        /// What would change if the intent in this file were in force?
+        /// Plans the change to the intent in a file.
         Plan {
-            /// The intent file.
+            /// Path of the intent file.
             file: String,
         },
-        /// Anything else that a controller answers.
+        /// Sends another request to a controller.
         Ask(OperatorRequest),
-        /// Is this file accepted? Asks no server.
+        /// Checks a file without a server.
         Check {
-            /// The file.
+            /// Path of the file.
             file: String,
-            /// What it is; guessed from its fields if not told.
+            /// Kind of the file; inferred from its fields if `None`.
             kind: Option<FileKind>,
         },
     }
 
-    /// What a file holds.
+    /// Kind of a file.
     #[derive(Copy, Eq)]
     pub enum FileKind {
-        /// What operators want served.
+        /// An intent.
         Intent,
         /// Settings of an entry.
         Entry,
         /// Settings of a controller.
         Controller,
-        /// Settings of this command.
+        /// Settings of this tool.
         Operator,
     }
 }
 
 impl FileKind {
-    /// The name used on the command line.
+    /// Returns the name used on the command line.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Intent => "intent",
@@ -54,6 +54,6 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let kinds = [Self::Intent, Self::Entry, Self::Controller, Self::Operator];
         let found = kinds.into_iter().find(|kind| kind.as_str() == text);
-        found.ok_or_else(|| format!("`{text}` is none of intent, entry, controller, operator"))
+        found.ok_or_else(|| format!("`{text}` is not one of intent, entry, controller, operator"))
     }
 }
--- a/crates/ctl/src/args/command_line.rs
+++ b/crates/ctl/src/args/command_line.rs
@@ -13,32 +13,32 @@
 };
 use crate::args::{ArgsError, Command};
 
-/// How long one request may take if the command line does not say, in milliseconds.
-const TIMEOUT_MS: u64 = 10_000;
-/// Changes that `audit` shows if the command line does not say.
-const AUDIT_LAST: u32 = 20;
+/// Default timeout of a request, in milliseconds.
+const DEFAULT_TIMEOUT_MS: u64 = 10_000;
+/// Default number of changes that `audit` shows.
+const DEFAULT_AUDIT_COUNT: u32 = 20;
 
 state! {
-    /// What the command was started with.
+    /// Parsed command-line arguments.
     pub struct Args {
-        /// What to do.
+        /// The command.
         pub command: Command,
         /// Whether to print JSON.
         pub json: bool,
-        /// Its settings file, if it is given one.
+        /// Path of the settings file, if given.
         pub settings: Option<String>,
-        /// Where controllers are and who asks, if flags say it.
+        /// Controllers and credentials, if given as flags.
         pub flags: Option<OperatorSettings>,
     }
 }
 
 impl Args {
-    /// Reads the command line of this process; `None` if it asks for help.
+    /// Parses the command line of this process; `None` if it requests help.
     pub fn from_env() -> Result<Option<Self>, ArgsError> {
         Self::parse(Arguments::from_env())
     }
 
-    /// Reads a command line without the program's name.
+    /// Parses a command line without the program's name; `None` if it requests help.
     ///
     /// ```
     /// use celeryhaven_ctl::{Args, Command};
@@ -75,15 +75,15 @@
 fn flags(arguments: &mut Arguments) -> Result<Option<OperatorSettings>, ArgsError> {
     let controllers: Vec<SocketAddr> = arguments
         .values_from_str("--controller")
-        .context(ValueSnafu { what: "`--controller` an IP address and port" })?;
+        .context(ValueSnafu { what: "`--controller` as an IP address and port" })?;
     let mut file = |option: &'static str| -> Result<Option<PathBuf>, ArgsError> {
         arguments.opt_value_from_str(option).context(ValueSnafu { what: option })
     };
     let files = (file("--certificate")?, file("--key")?, file("--authority")?);
     let timeout_ms = arguments
         .opt_value_from_str("--timeout-ms")
-        .context(ValueSnafu { what: "`--timeout-ms` a whole number" })?
-        .unwrap_or(TIMEOUT_MS);
+        .context(ValueSnafu { what: "`--timeout-ms` as a whole number" })?
+        .unwrap_or(DEFAULT_TIMEOUT_MS);
     match files {
         (Some(certificate_file), Some(key_file), Some(authority_file))
             if !controllers.is_empty() =>
@@ -103,22 +103,22 @@
 fn command(arguments: &mut Arguments) -> Result<Command, ArgsError> {
     let name = arguments.subcommand().context(ValueSnafu { what: "a command" })?;
     match name.context(NoCommandSnafu)?.as_str() {
-        "plan" => Ok(Command::Plan { file: word(arguments, "the intent file after `plan`")? }),
+        "plan" => Ok(Command::Plan { file: operand(arguments, "the intent file after `plan`")? }),
         "confirm" => confirm(arguments),
         "status" => Ok(Command::Ask(OperatorRequest::Status)),
         "audit" => {
             let last = arguments
                 .opt_value_from_str("--last")
-                .context(ValueSnafu { what: "`--last` a whole number" })?;
-            let last = last.unwrap_or(AUDIT_LAST);
+                .context(ValueSnafu { what: "`--last` as a whole number" })?;
+            let last = last.unwrap_or(DEFAULT_AUDIT_COUNT);
             Ok(Command::Ask(OperatorRequest::Audit { last }))
         }
         "drain" => drain(arguments),
         "check" => {
-            let kind = arguments
-                .opt_value_from_str("--kind")
-                .context(ValueSnafu { what: "`--kind` what the file is" })?;
-            Ok(Command::Check { file: word(arguments, "the file after `check`")?, kind })
+            let kind = arguments.opt_value_from_str("--kind").context(ValueSnafu {
+                what: "`--kind` as intent, entry, controller or operator",
+            })?;
+            Ok(Command::Check { file: operand(arguments, "the file after `check`")?, kind })
         }
         found => UnknownCommandSnafu { found }.fail(),
     }
@@ -127,16 +127,16 @@
 fn confirm(arguments: &mut Arguments) -> Result<Command, ArgsError> {
     let without: Vec<String> = arguments
         .values_from_str("--without")
-        .context(ValueSnafu { what: "`--without` a data centre" })?;
+        .context(ValueSnafu { what: "`--without` as the name of a data centre" })?;
     let without = without.into_iter().map(DataCentreName::new).collect();
-    let plan = PlanId::new(word(arguments, "the plan after `confirm`")?);
+    let plan = PlanId::new(operand(arguments, "the plan after `confirm`")?);
     Ok(Command::Ask(OperatorRequest::Confirm { plan, without }))
 }
 
 fn drain(arguments: &mut Arguments) -> Result<Command, ArgsError> {
     let drained = !arguments.contains("--undo");
-    let kind = word(arguments, "`vm` or `node` after `drain`")?;
-    let name = word(arguments, "the name to drain")?;
+    let kind = operand(arguments, "`vm` or `node` after `drain`")?;
+    let name = operand(arguments, "the name to drain")?;
     match kind.as_str() {
         "vm" => Ok(Command::Ask(OperatorRequest::DrainVm { vm: VmName::new(name), drained })),
         "node" => {
@@ -146,6 +146,6 @@
     }
 }
 
-fn word(arguments: &mut Arguments, what: &'static str) -> Result<String, ArgsError> {
+fn operand(arguments: &mut Arguments, what: &'static str) -> Result<String, ArgsError> {
     arguments.free_from_str().context(ValueSnafu { what })
 }
--- a/crates/ctl/src/args/error.rs
+++ b/crates/ctl/src/args/error.rs
@@ -1,42 +1,44 @@
 use snafu::Snafu;
 
-/// Why a command line was refused.
+/// Reasons to reject a command line.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum ArgsError {
     /// No command was given.
-    #[snafu(display("say what to do: plan, confirm, status, audit, drain or check"))]
+    #[snafu(display("no command given: use plan, confirm, status, audit, drain or check"))]
     NoCommand,
     /// The command is not known.
-    #[snafu(display("`{found}` is no command; use plan, confirm, status, audit, drain or check"))]
+    #[snafu(display(
+        "unknown command `{found}`; use plan, confirm, status, audit, drain or check"
+    ))]
     UnknownCommand {
-        /// What stands there.
+        /// What was found.
         found: String,
     },
-    /// An option or argument is missing or not of the right kind.
-    #[snafu(display("give {what}: {source}"))]
+    /// An option or argument is missing or invalid.
+    #[snafu(display("expected {what}: {source}"))]
     Value {
-        /// What is needed.
+        /// What was expected.
         what: &'static str,
-        /// What was wrong.
+        /// The cause.
         source: pico_args::Error,
     },
     /// A drain names neither a VM nor a node.
-    #[snafu(display("say what to drain: `drain vm NAME` or `drain node NAME`, not `{found}`"))]
+    #[snafu(display("cannot drain `{found}`: use `drain vm NAME` or `drain node NAME`"))]
     DrainKind {
-        /// What stands there.
+        /// What was found.
         found: String,
     },
-    /// Something is left that nothing takes.
-    #[snafu(display("remove what nothing takes: {rest}"))]
+    /// Unexpected arguments.
+    #[snafu(display("unexpected arguments: {rest}"))]
     Rest {
-        /// What is left.
+        /// The unexpected arguments.
         rest: String,
     },
-    /// Neither a settings file nor a controller is given.
+    /// Neither a settings file nor controllers and credentials are given.
     #[snafu(display(
-        "say where controllers are: `--settings FILE`, or `--controller`, `--certificate`, \
+        "no controllers given: use `--settings FILE`, or `--controller`, `--certificate`, \
          `--key` and `--authority`"
     ))]
     NoControllers,
--- a/crates/ctl/src/args/help.rs
+++ b/crates/ctl/src/args/help.rs
@@ -1,31 +1,32 @@
 use crate::args::Args;
 
 impl Args {
-    /// What `--help` prints.
+    /// The output of `--help`.
     pub const HELP: &str = "\
 Shows and changes what is served.
 
 Usage: celeryhaven-ctl [OPTIONS] COMMAND
 
 Commands:
-  plan FILE                  what would change and stop if the intent in FILE were in force
-  confirm PLAN               puts a plan in force
-      --without DATA-CENTRE  although that data centre has not reported for long (repeatable)
-  status                     what is placed, held and in force
-  audit [--last N]           who changed what, newest first (20 unless told)
-  drain vm NAME [--undo]     empties a target VM, or no longer
-  drain node NAME [--undo]   empties an entry VM, or no longer
-  check FILE [--kind KIND]   is FILE accepted? KIND: intent, entry, controller, operator
+  plan FILE                  show what would change if the intent in FILE were in force
+  confirm PLAN               put a plan in force
+      --without DATA-CENTRE  even if that data centre has not reported recently (repeatable)
+  status                     show the configuration, placements and leases
+  audit [--last N]           show changes, newest first [default: 20]
+  drain vm NAME [--undo]     drain a target VM, or undo that
+  drain node NAME [--undo]   drain an entry VM, or undo that
+  check FILE [--kind KIND]   check FILE; KIND: intent, entry, controller, operator
 
 Options:
-  --settings FILE            where controllers are and who you are, in YAML
-  --controller ADDRESS       instead of a settings file (repeatable), with the next three
-  --certificate FILE         your certificate, in PEM
-  --key FILE                 its key, in PEM
-  --authority FILE           the fleet's authority, in PEM
-  --timeout-ms N             how long a controller may take (10000)
+  --settings FILE            settings of this tool, in YAML
+  --controller ADDRESS       address of a controller (repeatable); with the next three
+                             options, replaces the settings file
+  --certificate FILE         operator certificate, in PEM
+  --key FILE                 key of the certificate, in PEM
+  --authority FILE           certificate authority of the fleet, in PEM
+  --timeout-ms N             timeout of a request, in milliseconds [default: 10000]
   --json                     print JSON
-  -h, --help                 this text
+  -h, --help                 print help
 
 Exit codes:
   0 done                     4 the plan was confirmed before; nothing changed
--- a/crates/ctl/src/check/file.rs
+++ b/crates/ctl/src/check/file.rs
@@ -4,11 +4,11 @@
 
 use crate::args::FileKind;
 
-/// Checks a file by the rules of its kind, and says which kind that was.
+/// Checks a file by the rules of its kind and returns that kind.
 ///
-/// Without a kind it goes by a field that only one kind has.
+/// If `kind` is `None`, it is inferred from a field that only one kind has.
 pub fn check_file(file: &str, kind: Option<FileKind>) -> Result<FileKind, SettingsError> {
-    let kind = kind.unwrap_or_else(|| guess(file));
+    let kind = kind.unwrap_or_else(|| infer_kind(file));
     match kind {
         FileKind::Intent => load_intent(file).map(drop)?,
         FileKind::Entry => EntrySettings::load(file).map(drop)?,
@@ -18,8 +18,9 @@
     Ok(kind)
 }
 
-/// A file that cannot be read counts as an intent; loading it says what is wrong.
-fn guess(file: &str) -> FileKind {
+/// Infers the kind of a file; an unreadable file counts as an intent, and loading it reports the
+/// error.
+fn infer_kind(file: &str) -> FileKind {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let has = |field: &str| text.lines().any(|line| line.starts_with(field));
     if has("operator_listen:") {
--- a/crates/ctl/src/client/ask.rs
+++ b/crates/ctl/src/client/ask.rs
@@ -8,10 +8,10 @@
 use crate::client::CtlError;
 use crate::client::error::{CredentialsSnafu, OutcomeUnknownSnafu};
 
-/// Asks the first controller that answers.
+/// Sends a request to the first controller that replies.
 ///
-/// Another controller is asked after one that could not be reached. A change that was sent and not
-/// answered is not sent again: the first may have accepted it.
+/// The next controller is tried if one could not be reached. A change without a reply is not
+/// resent, since the first controller may have accepted it.
 pub async fn ask(
     settings: &OperatorSettings,
     request: &OperatorRequest,
@@ -34,11 +34,11 @@
     Err(CtlError::Unreachable { tried: tried.join("; ") })
 }
 
-/// How far a request came.
+/// Whether a failed request may have been received.
 enum Failure {
-    /// The controller cannot have heard it.
+    /// The controller did not receive the request.
     NotSent(LinkError),
-    /// The controller may have heard it.
+    /// The controller may have received the request.
     Sent(LinkError),
 }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,12 +1,12 @@
-//! The operators' command.
+//! The operators' command-line tool.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`args`] | the command line |
 //! | [`check`] | settings and intent files, checked without a server |
 //! | [`client`] | the link to a controller |
-//! | [`output`] | tables, JSON, exit codes |
-//! | [`run`](mod@run) | one command from its arguments to its exit code |
+//! | [`output`] | tables, JSON and exit codes |
+//! | [`run`](mod@run) | execution of a command |
 
 pub mod args;
 pub mod check;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one command of an operator.
+//! Runs one operator command.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/output/exit_status.rs
+++ b/crates/ctl/src/output/exit_status.rs
@@ -6,22 +6,22 @@
 use crate::client::CtlError;
 
 state! {
-    /// How a command ended; scripts go by its number.
+    /// Exit code of a command; scripts depend on its number.
     #[derive(Copy, Eq)]
     pub enum ExitStatus {
-        /// Done as asked.
+        /// The command succeeded.
         Done = 0,
         /// The output could not be written.
         Output = 1,
-        /// The command line or a file is not accepted.
+        /// The command line or a file was rejected.
         Usage = 2,
-        /// The configuration has moved on; nothing changed.
+        /// The configuration has changed since the plan; nothing changed.
         Conflict = 3,
-        /// The plan was confirmed before; nothing changed.
+        /// The plan had already been confirmed; nothing changed.
         AlreadyConfirmed = 4,
         /// Refused for another reason; nothing changed.
         Refused = 5,
-        /// No controller could be asked; nothing changed.
+        /// No controller could be reached; nothing changed.
         Unreachable = 6,
         /// The change may be in force.
         OutcomeUnknown = 7,
--- a/crates/ctl/src/output/mod.rs
+++ b/crates/ctl/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! Tables, JSON, exit codes.
+//! Tables, JSON and exit codes.
 
 mod exit_status;
 mod show;
--- a/crates/ctl/src/output/show.rs
+++ b/crates/ctl/src/output/show.rs
@@ -7,7 +7,7 @@
 
 use crate::output::Table;
 
-/// An answer as people read it; refusals are reported as errors instead.
+/// Formats a reply as text; refusals are reported as errors instead.
 pub fn show(reply: &OperatorReply) -> String {
     match reply {
         OperatorReply::Planned(plan) => show_plan(plan),
@@ -23,7 +23,7 @@
     }
 }
 
-/// An answer as scripts read it.
+/// Formats a reply as JSON.
 pub fn report(reply: &OperatorReply) -> String {
     serde_json::to_string_pretty(reply).unwrap_or_default() + "\n"
 }
@@ -62,7 +62,7 @@
     table.to_string()
 }
 
-/// A wall-clock time in UTC, to the second.
+/// Formats a wall-clock time in UTC, to the second.
 fn time(unix_ms: u64) -> String {
     let at = UNIX_EPOCH + Duration::from_millis(unix_ms);
     humantime::format_rfc3339_seconds(at).to_string()
--- a/crates/ctl/src/output/table.rs
+++ b/crates/ctl/src/output/table.rs
@@ -1,6 +1,6 @@
 use std::fmt;
 
-/// Rows of text under headings, each column as wide as its widest text.
+/// A text table with headings; each column is as wide as its widest cell.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
--- a/crates/ctl/src/run/command.rs
+++ b/crates/ctl/src/run/command.rs
@@ -10,9 +10,9 @@
 use crate::client::{CtlError, ask};
 use crate::output::{ExitStatus, report, show};
 
-/// Carries a command out, prints what came of it, and says how it ended.
+/// Executes a command, prints its result and returns its exit code.
 pub fn run(args: &Args) -> ExitStatus {
-    match carry_out(args) {
+    match execute(args) {
         Ok(Outcome::Text(text)) => print(&text, ExitStatus::Done),
         Ok(Outcome::Reply(reply)) => {
             let status = ExitStatus::from(&reply);
@@ -37,7 +37,7 @@
     Reply(OperatorReply),
 }
 
-fn carry_out(args: &Args) -> Result<Outcome, CtlError> {
+fn execute(args: &Args) -> Result<Outcome, CtlError> {
     let request = match &args.command {
         Command::Check { file, kind } => {
             let kind = check_file(file, *kind).context(FileSnafu)?.as_str();
--- a/crates/ctl/src/run/mod.rs
+++ b/crates/ctl/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! One command from its arguments to its exit code.
+//! Execution of a command.
 
 mod command;
 
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the command accepts, how it ends, what it prints.
+//! Accepted command lines, exit codes and output.
 
 use celeryhaven_ctl::{Args, ArgsError, Command, CtlError, ExitStatus, FileKind, check_file, show};
 use celeryhaven_types::{
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn bad_command_lines_say_what_to_write() {
+fn bad_command_lines_are_refused() {
     assert!(matches!(refused(&[]), ArgsError::NoCommand));
     assert!(matches!(refused(&["destroy"]), ArgsError::UnknownCommand { .. }));
     assert!(matches!(refused(&["status"]), ArgsError::NoControllers));
@@ -46,7 +46,7 @@
     assert!(Args::from_words(["check", "intent.yaml"]).expect("accepted").is_some());
 }
 
-/// Scripts go by the numbers; each documented one has its case.
+/// An exit code that scripts depend on changes.
 #[test]
 fn exit_status_by_answer() {
     let status = |refusal| ExitStatus::from(&OperatorReply::Refused(refusal)) as u8;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn check_file_guesses_example_kinds() {
+fn check_file_infers_example_kinds() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/riga-fleet");
     let kind = |name: &str| check_file(&format!("{root}/{name}"), None).expect("accepted");
     assert_eq!(kind("intent.yaml"), FileKind::Intent);
--- a/crates/node/src/controller/controller_node.rs
+++ b/crates/node/src/controller/controller_node.rs
@@ -7,20 +7,20 @@
     Config, DataCentreName, DeploymentName, DomainName, Fence, Incarnation, TimeMs,
 };
 
-use crate::controller::desk::Desk;
 use crate::controller::interface::{ControllerAction, ControllerEvent, ControllerOptions};
+use crate::controller::operators::OperatorRequests;
 use crate::controller::state::{
     AllocationControl, Calls, DomainControl, DomainInputs, Fleet, Outbox, Reader, Route,
 };
 use crate::machine::Machine;
 
-/// How long a controller that leaves waits for its leases to be given up, in milliseconds.
-const LEAVE_MS: u64 = 3_000;
+/// How long a leaving controller waits for its leases to be released, in milliseconds.
+const LEAVE_TIMEOUT_MS: u64 = 3_000;
 
-/// A whole controller: leases, placement, orders and operators' requests.
+/// State machine of a controller: leases, placement, orders and operator requests.
 ///
-/// Every entry VM runs one. Which of them acts for a fabric domain is decided by leases in the
-/// Object API; each answers operators.
+/// Every entry VM runs one. Leases in the Object API determine which controller acts for a fabric
+/// domain; every controller answers operators.
 ///
 /// ```
 /// use celeryhaven_node::{ControllerAction, ControllerEvent, ControllerNode, ControllerOptions};
@@ -46,7 +46,7 @@
     shares: Reader<Allocation>,
     domains: BTreeMap<DomainName, DomainControl>,
     allocation: AllocationControl,
-    desk: Desk,
+    operators: OperatorRequests,
     vm_list_due_at: TimeMs,
     leases_due_at: TimeMs,
     next_wake: TimeMs,
@@ -54,9 +54,9 @@
     has_left: bool,
 }
 
-/// Construction and what can be seen from outside.
+/// Construction and queries.
 impl ControllerNode {
-    /// A controller that knows nothing yet; `seed` differs among processes.
+    /// Creates a controller without state; `seed` must differ among processes.
     pub fn new(
         me: Incarnation,
         data_centre: DataCentreName,
@@ -76,7 +76,7 @@
             shares: Reader::new("allocation/current"),
             domains: BTreeMap::new(),
             allocation: AllocationControl::new(lease),
-            desk: Desk::default(),
+            operators: OperatorRequests::default(),
             vm_list_due_at: TimeMs::default(),
             leases_due_at: TimeMs::default(),
             next_wake: TimeMs::default(),
@@ -85,18 +85,19 @@
         }
     }
 
-    /// Fabric domains whose lease is held, with their fencing numbers.
+    /// Returns the fabric domains whose lease is held, with their fencing numbers.
     pub fn held_domains(&self, now: TimeMs) -> Vec<(DomainName, Fence)> {
         let held = self.domains.iter();
-        held.filter_map(|(name, domain)| Some((name.clone(), domain.slot.held(now)?))).collect()
+        held.filter_map(|(name, domain)| Some((name.clone(), domain.lease_client.held(now)?)))
+            .collect()
     }
 
-    /// Whether it divides replicas among domains.
+    /// Whether the allocation lease is held.
     pub fn holds_allocation(&self, now: TimeMs) -> bool {
-        self.allocation.slot.held(now).is_some()
+        self.allocation.lease_client.held(now).is_some()
     }
 
-    /// How each deployment stands in the domains that are held, summed over them.
+    /// Returns the replica figures of each deployment, summed over the held domains.
     pub fn figures(&self, now: TimeMs) -> Vec<DeploymentFigures> {
         let inputs = self.inputs();
         let mut sums: BTreeMap<DeploymentName, DeploymentFigures> = BTreeMap::new();
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The configuration read last.
+    /// Returns the configuration that was read last.
     pub fn config(&self) -> Option<&Config> {
         self.config.value()
     }
@@ -135,10 +136,10 @@
     fn handle(&mut self, now: TimeMs, event: ControllerEvent, out: &mut Vec<ControllerAction>) {
         match event {
             ControllerEvent::Tick => {}
-            ControllerEvent::Store { call, reply } => self.store_ended(now, call, reply, out),
-            ControllerEvent::VmList { entries } => self.fleet.take(entries),
+            ControllerEvent::Store { call, reply } => self.store_replied(now, call, reply, out),
+            ControllerEvent::VmList { entries } => self.fleet.apply_list(entries),
             ControllerEvent::Polled { vm, took_ms, outcome } => {
-                // As old as the question.
+                // The report is at least as old as the request.
                 let asked_at = TimeMs::new(now.get().saturating_sub(took_ms));
                 let domain = self.fleet.entry(&vm).and_then(|entry| entry.domain.clone());
                 if let Some(control) = domain.and_then(|domain| self.domains.get_mut(&domain)) {
@@ -153,7 +154,7 @@
             ControllerEvent::Operator { ticket, operator, request, at_unix_ms } => {
                 let deadline = now.after(self.options.operator_timeout_ms);
                 let mut out = Outbox { now, calls: &mut self.calls, actions: out };
-                self.desk.begin(ticket, operator, request, at_unix_ms, deadline, &mut out);
+                self.operators.begin(ticket, operator, request, at_unix_ms, deadline, &mut out);
             }
             ControllerEvent::Leave => self.leave(now),
         }
@@ -165,16 +166,16 @@
     }
 }
 
-/// Answers of the Object API.
+/// Replies of the Object API.
 impl ControllerNode {
-    fn store_ended(
+    fn store_replied(
         &mut self,
         now: TimeMs,
         call: StoreCallId,
         reply: StoreReply,
         out: &mut Vec<ControllerAction>,
     ) {
-        if let Some(route) = self.calls.end(call) {
+        if let Some(route) = self.calls.complete(call) {
             self.route(now, call, route, reply, out);
         }
     }
@@ -188,61 +189,63 @@
         out: &mut Vec<ControllerAction>,
     ) {
         match route {
-            Route::Leases => self.leases_read(now, &reply),
-            Route::AllocationLease => self.allocation.slot.reply(now, call, reply),
+            Route::Leases => self.observe_leases(now, &reply),
+            Route::AllocationLease => self.allocation.lease_client.reply(now, call, reply),
             Route::DomainLease(name) => {
                 if let Some(domain) = self.domains.get_mut(&name) {
-                    domain.lease_ended(now, call, reply);
+                    domain.lease_replied(now, call, reply);
                 }
             }
             Route::Placement(name) => {
                 if let Some(domain) = self.domains.get_mut(&name) {
-                    domain.placement_ended(now, reply);
+                    domain.placement_replied(now, reply);
                 }
             }
             Route::Health(name) => {
                 if let Some(domain) = self.domains.get_mut(&name) {
-                    domain.health_ended(now, reply);
+                    domain.health_replied(now, reply);
                 }
             }
-            Route::Allocation => self.allocation.allocation_ended(now, reply),
-            Route::Placements => self.allocation.placements_ended(&reply),
+            Route::Allocation => self.allocation.allocation_replied(now, reply),
+            Route::Placements => self.allocation.placements_replied(&reply),
             Route::Config => self.config.reply(&reply),
             Route::Shares => self.shares.reply(&reply),
             Route::Operator(ticket, step) => {
                 let mut out = Outbox { now, calls: &mut self.calls, actions: out };
-                self.desk.step_ended(
+                self.operators.step_completed(
                     ticket,
                     step,
                     reply,
                     &self.fleet,
-                    self.options.status_old_ms,
+                    self.options.status_max_age_ms,
                     &mut out,
                 );
             }
         }
     }
 
-    /// A lease that the list lacks has no object yet; only a list that was read says so.
-    fn leases_read(&mut self, now: TimeMs, reply: &StoreReply) {
+    /// Applies a list of leases; a lease that the list lacks has no object yet.
+    fn observe_leases(&mut self, now: TimeMs, reply: &StoreReply) {
         let StoreReply::Listed { objects, .. } = reply else { return };
         let find = |key: &ObjectKey| -> Option<&Object> { objects.iter().find(|o| o.key == *key) };
         for domain in self.domains.values_mut() {
-            let lease = &mut domain.slot.lease;
+            let lease = &mut domain.lease_client.lease;
             lease.observe(now, find(&lease.key().clone()));
         }
-        let lease = &mut self.allocation.slot.lease;
+        let lease = &mut self.allocation.lease_client.lease;
         lease.observe(now, find(&lease.key().clone()));
     }
 }
 
-/// What is due.
+/// Timers that are due.
 impl ControllerNode {
     fn advance(&mut self, now: TimeMs, out: &mut Vec<ControllerAction>) {
-        while let Some((call, route)) = self.calls.end_late(now, self.options.store_timeout_ms) {
+        while let Some((call, route)) =
+            self.calls.take_timed_out(now, self.options.store_timeout_ms)
+        {
             self.route(now, call, route, StoreReply::Unknown, out);
         }
-        self.follow_domains();
+        self.add_domains();
         let held = self.held_domains(now).len() + usize::from(self.holds_allocation(now));
         let handicap_ms = held as u64 * self.options.handicap_per_lease_ms;
         self.read_due(now, held > 0, out);
@@ -257,12 +260,13 @@
         for domain in self.domains.values_mut() {
             domain.advance(handicap_ms, inputs, &mut outbox);
         }
-        self.desk.advance(&mut outbox);
+        self.operators.advance(&mut outbox);
         self.next_wake = now.after(self.options.tick_ms);
         self.finish_leaving(now, out);
     }
 
-    /// Reads what is due: everybody the VM list and the leases, holders also what they go by.
+    /// Issues the reads that are due: the VM list and the leases, and for holders also the
+    /// configuration and the allocation.
     fn read_due(&mut self, now: TimeMs, is_holder: bool, out: &mut Vec<ControllerAction>) {
         let mut out = Outbox { now, calls: &mut self.calls, actions: out };
         if now >= self.vm_list_due_at {
@@ -285,7 +289,7 @@
     }
 
     /// Becomes a candidate for fabric domains that the VM list names.
-    fn follow_domains(&mut self) {
+    fn add_domains(&mut self) {
         for (name, data_centre) in self.fleet.domains() {
             if self.domains.contains_key(name) {
                 continue;
@@ -294,7 +298,7 @@
                 true => Nearness::Near,
                 false => Nearness::Far,
             };
-            // Another seed for each lease, or one controller would come first for all of them.
+            // With one seed for all leases, one controller would win all of them.
             let seed = name.as_str().bytes().fold(self.seed, |seed, byte| {
                 seed.wrapping_mul(0x0100_0000_01b3) ^ u64::from(byte)
             });
@@ -308,21 +312,21 @@
         }
     }
 
-    /// Gives leases up, so that others need not wait for them to lapse.
+    /// Releases all leases, so that other controllers need not wait for them to expire.
     fn leave(&mut self, now: TimeMs) {
         self.leaving_since.get_or_insert(now);
-        self.allocation.slot.lease.release();
-        self.domains.values_mut().for_each(|domain| domain.slot.lease.release());
+        self.allocation.lease_client.lease.release();
+        self.domains.values_mut().for_each(|domain| domain.lease_client.lease.release());
     }
 
     fn finish_leaving(&mut self, now: TimeMs, out: &mut Vec<ControllerAction>) {
         let Some(since) = self.leaving_since.filter(|_| !self.has_left) else { return };
-        let domains = self.domains.values().map(|domain| &domain.slot.lease);
-        let mut leases = domains.chain([&self.allocation.slot.lease]);
+        let domains = self.domains.values().map(|domain| &domain.lease_client.lease);
+        let mut leases = domains.chain([&self.allocation.lease_client.lease]);
         let holds = leases.any(|lease| {
             lease.record().is_some_and(|record| record.holder == self.me && !record.released)
         });
-        if !holds || now.since(since) >= LEAVE_MS {
+        if !holds || now.since(since) >= LEAVE_TIMEOUT_MS {
             self.has_left = true;
             out.push(ControllerAction::Left);
         }
--- a/crates/node/src/controller/interface/action.rs
+++ b/crates/node/src/controller/interface/action.rs
@@ -7,47 +7,47 @@
 use crate::controller::interface::OperatorTicket;
 
 state! {
-    /// What a controller wants done.
+    /// An action for the driver of a controller to execute.
     pub enum ControllerAction {
         /// Call the Object API.
         Store {
-            /// Matches the reply.
+            /// Identifies the reply.
             call: StoreCallId,
-            /// The call.
+            /// The request.
             request: StoreRequest,
         },
         /// Read the platform's VM list.
         ReadVmList,
-        /// Ask a member for its status.
+        /// Request the status of a member.
         Poll {
-            /// Which member.
+            /// Name of the member's VM.
             vm: VmName,
-            /// Where it answers.
+            /// Address of the member.
             address: SocketAddr,
         },
         /// Send an order to a member.
         ///
-        /// The driver reads the clock right before the first byte and reports
-        /// [`OrderOutcome::NotSent`](super::OrderOutcome::NotSent) instead if `send_before` has
-        /// passed: the process may have been paused since the decision.
+        /// The driver reads the clock directly before sending the first byte and reports
+        /// [`OrderOutcome::NotSent`](super::OrderOutcome::NotSent) if `send_before` has passed,
+        /// because the process may have been paused since the decision.
         Order {
-            /// Which member.
+            /// Name of the member's VM.
             vm: VmName,
-            /// Where it answers.
+            /// Address of the member.
             address: SocketAddr,
             /// The order.
             order: Order,
-            /// When the first byte must have left.
+            /// Deadline for sending the first byte.
             send_before: TimeMs,
         },
-        /// Answer an operator.
+        /// Reply to an operator.
         Answer {
-            /// Which request.
+            /// The request.
             ticket: OperatorTicket,
-            /// The answer.
+            /// The reply.
             reply: OperatorReply,
         },
-        /// Nothing is held any more: the process may exit.
+        /// All leases are released: the process may exit.
         Left,
     }
 }
--- a/crates/node/src/controller/interface/event.rs
+++ b/crates/node/src/controller/interface/event.rs
@@ -5,75 +5,75 @@
 use crate::entry::PollOutcome;
 
 number! {
-    /// Names one request of an operator, inside one process.
+    /// Identifies one operator request within a process.
     OperatorTicket(u64)
 }
 
 state! {
-    /// What became of an order.
+    /// Outcome of an order.
     #[derive(Copy, Eq)]
     pub enum OrderOutcome {
-        /// The member took it.
+        /// The member accepted the order.
         Accepted,
         /// The member has seen a higher fencing number.
         OldFence {
-            /// The number it has seen.
+            /// The highest fencing number that the member has seen.
             seen: Fence,
         },
-        /// It did not leave: its time had passed when the driver looked.
+        /// The order was not sent: its deadline had passed.
         NotSent,
-        /// No answer; the member may have taken it.
+        /// No reply was received; the member may have accepted the order.
         Unknown,
     }
 
-    /// What a controller hears.
+    /// An event for a controller to process.
     pub enum ControllerEvent {
-        /// Time has passed.
+        /// Timers are due.
         Tick,
-        /// A call to the Object API ended.
+        /// A call of the Object API completed.
         Store {
-            /// Which call.
+            /// The call.
             call: StoreCallId,
-            /// How.
+            /// Its result.
             reply: StoreReply,
         },
         /// The platform's VM list was read.
         VmList {
-            /// All of it.
+            /// All VMs of the list.
             entries: Vec<VmEntry>,
         },
-        /// A poll of a member ended.
+        /// A poll of a member completed.
         Polled {
-            /// Which member.
+            /// Name of the member's VM.
             vm: VmName,
-            /// How long it took, in milliseconds.
+            /// Duration of the poll, in milliseconds.
             took_ms: u64,
-            /// How.
+            /// Its result.
             outcome: PollOutcome,
         },
-        /// An order to a member ended.
+        /// An order to a member completed.
         Ordered {
-            /// Which member.
+            /// Name of the member's VM.
             vm: VmName,
-            /// Which order.
+            /// Identity of the order.
             order_id: u64,
-            /// How.
+            /// Its result.
             outcome: OrderOutcome,
         },
-        /// An operator asks for something.
+        /// An operator sent a request.
         ///
-        /// The driver has refused an intent that contradicts itself.
+        /// The driver has already rejected an inconsistent intent.
         Operator {
-            /// Names it from now on.
+            /// Identifies the request.
             ticket: OperatorTicket,
-            /// Who asks, by certificate.
+            /// The operator, as named by the certificate.
             operator: OperatorName,
-            /// What.
+            /// The request.
             request: OperatorRequest,
             /// Wall clock, in milliseconds since the Unix epoch; for the audit record.
             at_unix_ms: u64,
         },
-        /// The process was asked to stop: give up what is held.
+        /// The process is to stop: release all leases.
         Leave,
     }
 }
--- a/crates/node/src/controller/interface/options.rs
+++ b/crates/node/src/controller/interface/options.rs
@@ -3,48 +3,51 @@
 use celeryhaven_placement::PlacementSettings;
 
 state! {
-    /// Spans of time that a controller works with.
+    /// Intervals, timeouts and limits of a controller.
     #[derive(Copy)]
     pub struct ControllerOptions {
-        /// Spans of leases.
+        /// Lease timings.
         pub lease: LeaseSettings,
-        /// Spans and limits of placement.
+        /// Placement timings and limits.
         pub placement: PlacementSettings,
-        /// How often the state machine looks at what is due.
+        /// Interval at which timers are processed, in milliseconds.
         pub tick_ms: u64,
-        /// How often all leases are read, in one call.
+        /// Interval at which all leases are listed, in milliseconds.
         ///
-        /// At 340 controllers this is 170 of the store's 2,000 reads a second. A lapsed lease is
-        /// noticed this much later, beside its `ttl_ms`.
+        /// An expired lease is detected up to this much later than its `ttl_ms`.
         pub leases_interval_ms: u64,
-        /// How often a holder reads the configuration and the allocation, two reads each.
+        /// Interval at which a holder reads the configuration and the allocation, in milliseconds.
         pub config_interval_ms: u64,
-        /// How often the holder of the allocation reads all placements.
+        /// Interval at which the holder of the allocation lists all placements, in milliseconds.
         pub placements_interval_ms: u64,
-        /// How often the VM list is read.
+        /// Interval at which the VM list is read, in milliseconds.
         pub vm_list_interval_ms: u64,
-        /// How often each member of a held domain is polled.
+        /// Interval at which each member of a held domain is polled, in milliseconds.
         pub poll_interval_ms: u64,
-        /// An order without an answer is sent again after this long.
+        /// Delay before an unanswered order is resent, in milliseconds.
         pub order_retry_ms: u64,
-        /// An order that was taken and shows no effect in reports is given anew after this long.
-        pub order_settle_ms: u64,
-        /// A call to the Object API without an answer for this long counts as unknown.
+        /// Delay before an accepted order without an effect in reports is reissued, in
+        /// milliseconds.
+        pub order_effect_timeout_ms: u64,
+        /// Timeout of a call of the Object API, after which its outcome is unknown, in
+        /// milliseconds.
         pub store_timeout_ms: u64,
-        /// Time for one request of an operator; less than the operators' command waits.
+        /// Timeout of an operator request, in milliseconds; less than the timeout of the operators'
+        /// command.
         pub operator_timeout_ms: u64,
-        /// What a holder sees of its domain is written at most this often, and only if it changed.
+        /// Minimum interval between writes of a domain's health record, in milliseconds.
         pub health_interval_ms: u64,
-        /// A data centre whose status is older is warned of before a change.
-        pub status_old_ms: u64,
-        /// Waiting for a lapsed lease grows by this with each lease held already.
+        /// Age from which a data centre's status is stale, in milliseconds; changes are then
+        /// refused unless the operator names the data centre.
+        pub status_max_age_ms: u64,
+        /// Added delay before taking an expired lease, per lease already held, in milliseconds.
         ///
-        /// So leases spread over controllers; nobody is set aside to hold them all.
+        /// Spreads leases over controllers.
         pub handicap_per_lease_ms: u64,
-        /// A fabric domain that has lost VMs keeps its share of replicas this long.
+        /// How long a fabric domain that has lost VMs keeps its share of replicas, in milliseconds.
         ///
-        /// Moving a replica to another domain costs a whole load; of 201 VMs that go missing on an
-        /// ordinary day 190 are restarted or replaced.
+        /// Moving a replica to another domain costs a full load, and most missing VMs are soon
+        /// restarted or replaced.
         pub capacity_hold_ms: u64,
     }
 }
@@ -61,11 +64,11 @@
             vm_list_interval_ms: 2_000,
             poll_interval_ms: 500,
             order_retry_ms: 1_000,
-            order_settle_ms: 3_000,
+            order_effect_timeout_ms: 3_000,
             store_timeout_ms: 2_000,
             operator_timeout_ms: 6_000,
             health_interval_ms: 5_000,
-            status_old_ms: 30_000,
+            status_max_age_ms: 30_000,
             handicap_per_lease_ms: 400,
             capacity_hold_ms: 60_000,
         }
@@ -73,31 +76,31 @@
 }
 
 impl ControllerOptions {
-    /// Changes the spans of leases.
+    /// Sets the lease timings.
     pub const fn with_lease(mut self, lease: LeaseSettings) -> Self {
         self.lease = lease;
         self
     }
 
-    /// Changes the spans and limits of placement.
+    /// Sets the placement timings and limits.
     pub const fn with_placement(mut self, placement: PlacementSettings) -> Self {
         self.placement = placement;
         self
     }
 
-    /// Changes how often the VM list is read.
+    /// Sets the interval at which the VM list is read, in milliseconds.
     pub const fn with_vm_list_interval_ms(mut self, vm_list_interval_ms: u64) -> Self {
         self.vm_list_interval_ms = vm_list_interval_ms;
         self
     }
 
-    /// Changes how often each member of a held domain is polled.
+    /// Sets the interval at which each member of a held domain is polled, in milliseconds.
     pub const fn with_poll_interval_ms(mut self, poll_interval_ms: u64) -> Self {
         self.poll_interval_ms = poll_interval_ms;
         self
     }
 
-    /// Changes when a call to the Object API counts as unknown.
+    /// Sets the timeout of a call of the Object API, in milliseconds.
     pub const fn with_store_timeout_ms(mut self, store_timeout_ms: u64) -> Self {
         self.store_timeout_ms = store_timeout_ms;
         self
--- a/crates/node/src/controller/mod.rs
+++ b/crates/node/src/controller/mod.rs
@@ -1,14 +1,14 @@
-//! What a controller process hears and does.
+//! Events, actions and state of a controller.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
 //! | [`interface`] | events, actions and settings |
 //! | `state` | leases, fabric domains, the allocation |
-//! | `desk` | requests of operators, step by step |
+//! | `operators` | operator requests |
 
 mod controller_node;
-mod desk;
 pub mod interface;
+mod operators;
 mod state;
 
 pub use controller_node::ControllerNode;
--- a/crates/node/src/controller/desk/change.rs
+++ b/crates/node/src/controller/operators/change.rs
@@ -2,16 +2,16 @@
 use celeryhaven_types::{Change, ChangeRecord, Config, ConfigNumber, Intent};
 
 state! {
-    /// What became of a change, by the record that stands where it belongs.
-    pub(crate) enum Standing {
-        /// It is in force or was.
+    /// Outcome of a change, determined from the record stored under its number.
+    pub(crate) enum ChangeOutcome {
+        /// The change was accepted.
         Accepted,
-        /// Another change stands there.
-        Taken,
+        /// Another change has this number.
+        Superseded,
     }
 }
 
-/// The configuration that a change makes of the one in force.
+/// Returns the configuration that results from a change to the current one.
 pub(crate) fn accepted_config(
     current: Option<&Config>,
     intent: Intent,
@@ -34,10 +34,10 @@
     Config { number: record.number, intent, drained_vms, drained_nodes, change: record }
 }
 
-/// Compares the record that stands at a change's number with the change itself.
+/// Compares the record stored under a change's number with the change itself.
 ///
 /// A record carries operator and time besides the change, so two operators who confirm one plan at
-/// the same moment are told apart: one accepted it, the other did not.
-pub(crate) fn standing(ours: &ChangeRecord, found: &ChangeRecord) -> Standing {
-    if ours == found { Standing::Accepted } else { Standing::Taken }
+/// the same moment are told apart.
+pub(crate) fn change_outcome(ours: &ChangeRecord, found: &ChangeRecord) -> ChangeOutcome {
+    if ours == found { ChangeOutcome::Accepted } else { ChangeOutcome::Superseded }
 }
--- a/crates/node/src/controller/desk/decisions.rs
+++ b/crates/node/src/controller/operators/decisions.rs
@@ -5,21 +5,23 @@
     OperatorRefusal, OperatorReply, OperatorRequest, Plan, PlanId,
 };
 
-use crate::controller::desk::status::{found, listed};
-use crate::controller::desk::{Outcome, Read, Standing, Step, Task, accepted_config, standing};
-use crate::controller::state::{Fleet, capacity_now};
+use crate::controller::operators::status::{found, listed};
+use crate::controller::operators::{
+    ChangeOutcome, Outcome, Read, Step, Task, accepted_config, change_outcome,
+};
+use crate::controller::state::{Fleet, current_capacity};
 
-/// Audit records that one request returns at most: each costs a read of the Object API.
+/// Audit records that one request returns at most; each costs a read of the Object API.
 const AUDIT_MAX: u32 = 200;
 
-/// Decisions, once everything that they need has been read.
+/// Evaluation of a request after its reads are complete.
 impl Task {
     pub(super) fn plan(&mut self, intent: Intent, fleet: &Fleet) -> Outcome {
         let config = self.config();
         let allocation: Option<Allocation> = found(self.replies.get(&Read::Allocation));
         let shares = allocation.map(|allocation| allocation.shares).unwrap_or_default();
         let placements: Vec<_> = listed(self.replies.get(&Read::Placements));
-        let domains = capacity_now(fleet, config.as_ref());
+        let domains = current_capacity(fleet, config.as_ref());
         let operator = self.operator.clone();
         let plan = make_plan(config.as_ref(), intent, operator, &shares, &placements, &domains);
         self.plan = Some(plan);
@@ -30,7 +32,7 @@
         &mut self,
         id: &PlanId,
         without: &[DataCentreName],
-        status_old_ms: u64,
+        status_max_age_ms: u64,
     ) -> Outcome {
         let plan: Option<Plan> = found(self.replies.get(&Read::Plan));
         let Some(plan) = plan else {
@@ -39,20 +41,24 @@
         let config = self.config();
         let current = config.as_ref().map(|config| config.number).unwrap_or_default();
         if current != plan.base {
-            return self.moved_on(plan.base);
+            return self.base_changed(plan.base);
         }
-        let old = self.old_statuses(without, status_old_ms);
-        if !old.is_empty() {
-            return refused(OperatorRefusal::OldStatus { data_centres: old });
+        let stale = self.stale_statuses(without, status_max_age_ms);
+        if !stale.is_empty() {
+            return refused(OperatorRefusal::OldStatus { data_centres: stale });
         }
         let summary = plan.effects.iter().map(describe).collect();
         let record = self.record(Change::Plan { plan: id.clone() }, summary);
         self.change(accepted_config(config.as_ref(), plan.intent, record))
     }
 
-    pub(super) fn drain(&mut self, is_so: impl Fn(&Config) -> bool, change: Change) -> Outcome {
+    pub(super) fn drain(
+        &mut self,
+        is_applied: impl Fn(&Config) -> bool,
+        change: Change,
+    ) -> Outcome {
         let Some(config) = self.config() else { return refused(OperatorRefusal::NoConfig) };
-        if is_so(&config) {
+        if is_applied(&config) {
             return refused(OperatorRefusal::NothingToChange);
         }
         let summary = drain_summary(&change).into_iter().collect();
@@ -71,10 +77,10 @@
         }
     }
 
-    /// Writes a change, after the record of the one before it has its own object.
+    /// Writes a change, after the record of the previous one has been copied to its own object.
     ///
-    /// The configuration carries only the record of the change that made it. Were the next change
-    /// written before the copy, a crash in between would lose that record.
+    /// The configuration carries only the record of the change that made it. If the next change
+    /// were written before the copy, a crash in between would lose that record.
     fn change(&mut self, next: Config) -> Outcome {
         let version = match self.replies.get(&Read::Config) {
             Some(StoreReply::Found(object)) => Some(object.version),
@@ -84,8 +90,8 @@
         Outcome::Next(vec![if version.is_some() { Step::CopyAudit } else { Step::WriteConfig }])
     }
 
-    /// Finds out what became of a write without a clear answer.
-    pub(super) fn look_again(&mut self, fleet: &Fleet) -> Outcome {
+    /// Determines the outcome of a write that got no conclusive reply.
+    pub(super) fn resolve_unknown_write(&mut self, fleet: &Fleet) -> Outcome {
         let Some((version, next)) = self.next.clone() else {
             return refused(OperatorRefusal::OutcomeUnknown);
         };
@@ -93,27 +99,32 @@
             Some(StoreReply::Found(object)) => Some(object.version),
             _ => None,
         };
-        // Not there yet, or the read is old: the same write again, which can take effect once.
+        // The write has not taken effect yet, or the read is stale. It can be repeated safely: it
+        // names the version that it replaces, so it takes effect at most once.
         if now_version <= version {
-            return Outcome::Later(Step::WriteConfig);
+            return Outcome::Retry(Step::WriteConfig);
         }
         match self.record_at(next.number) {
             None => self.read_audit(next.number),
-            Some(found) if standing(&next.change, &found) == Standing::Accepted => self.accepted(),
+            Some(found) if change_outcome(&next.change, &found) == ChangeOutcome::Accepted => {
+                self.accepted()
+            }
             Some(_) => {
-                // Its version is gone, so it cannot take effect any more.
+                // The version that the write names has been replaced, so it cannot take effect any
+                // more.
                 self.in_doubt = false;
                 self.next = None;
                 match self.request {
-                    OperatorRequest::Confirm { .. } => self.moved_on(next.change.from_number),
+                    OperatorRequest::Confirm { .. } => self.base_changed(next.change.from_number),
                     _ => self.decide(fleet, 0),
                 }
             }
         }
     }
 
-    /// The configuration is not the plan's base any more: by this very plan, or by another change?
-    fn moved_on(&mut self, base: ConfigNumber) -> Outcome {
+    /// Returns the refusal for a configuration that is no longer the plan's base: by this very plan
+    /// or by another change.
+    fn base_changed(&mut self, base: ConfigNumber) -> Outcome {
         let first = base.next();
         let Some(config) = self.config().filter(|config| config.number > base) else {
             return refused(OperatorRefusal::StoreUnavailable);
@@ -135,13 +146,13 @@
         }
     }
 
-    /// Reads the record of a change that is not in force any more, and so has its own object.
+    /// Reads the record of a change that is no longer in force and so has its own object.
     fn read_audit(&mut self, number: ConfigNumber) -> Outcome {
         let read = Read::Audit(number);
         self.waiting.insert(read.clone());
         match self.replies.remove(&read) {
             None => Outcome::Next(vec![Step::Read(read)]),
-            Some(_) => Outcome::Later(Step::Read(read)),
+            Some(_) => Outcome::Retry(Step::Read(read)),
         }
     }
 
@@ -171,7 +182,7 @@
     }
 }
 
-/// What was read.
+/// Values that were read.
 impl Task {
     pub(super) fn config(&self) -> Option<Config> {
         found(self.replies.get(&Read::Config))
@@ -184,21 +195,25 @@
         }
     }
 
-    /// The record of the change that made a configuration, if it has been read.
+    /// Returns the record of the change that made a configuration, if it has been read.
     fn record_at(&self, number: ConfigNumber) -> Option<ChangeRecord> {
         let current = self.config().filter(|config| config.number == number);
         let copied = || found(self.replies.get(&Read::Audit(number)));
         current.map(|config| config.change).or_else(copied)
     }
 
-    /// Data centres whose status is old, and which the operator did not name.
-    fn old_statuses(&self, without: &[DataCentreName], status_old_ms: u64) -> Vec<DataCentreName> {
+    /// Returns the data centres whose status is stale and which the operator did not name.
+    fn stale_statuses(
+        &self,
+        without: &[DataCentreName],
+        status_max_age_ms: u64,
+    ) -> Vec<DataCentreName> {
         let statuses: Vec<DataCentreStatus> = listed(self.replies.get(&Read::Statuses));
-        let old = statuses.into_iter().filter(|status| {
-            self.at_unix_ms.saturating_sub(status.at_unix_ms) > status_old_ms
+        let stale = statuses.into_iter().filter(|status| {
+            self.at_unix_ms.saturating_sub(status.at_unix_ms) > status_max_age_ms
                 && !without.contains(&status.data_centre)
         });
-        old.map(|status| status.data_centre).collect()
+        stale.map(|status| status.data_centre).collect()
     }
 }
 
--- a/crates/node/src/controller/desk/counter.rs
+++ b/crates/node/src/controller/operators/requests.rs
@@ -3,21 +3,21 @@
 use celeryhaven_types::store::StoreReply;
 use celeryhaven_types::{OperatorName, OperatorReply, OperatorRequest, TimeMs};
 
-use crate::controller::desk::{Outcome, Step, Task};
 use crate::controller::interface::{ControllerAction, OperatorTicket};
+use crate::controller::operators::{Outcome, Step, Task};
 use crate::controller::state::{Fleet, Outbox, Route};
 
-/// A step that the Object API did not carry out is tried again after this long, in milliseconds.
-const RETRY_MS: u64 = 300;
+/// Delay before a failed step is retried, in milliseconds.
+const RETRY_DELAY_MS: u64 = 300;
 
-/// Requests of operators that are being worked on.
+/// Operator requests in progress.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Desk {
+pub(crate) struct OperatorRequests {
     tasks: BTreeMap<OperatorTicket, Task>,
-    again: Vec<(TimeMs, OperatorTicket, Step)>,
+    retries: Vec<(TimeMs, OperatorTicket, Step)>,
 }
 
-impl Desk {
+impl OperatorRequests {
     pub(crate) fn begin(
         &mut self,
         ticket: OperatorTicket,
@@ -33,34 +33,36 @@
         self.send(ticket, steps, out);
     }
 
-    pub(crate) fn step_ended(
+    pub(crate) fn step_completed(
         &mut self,
         ticket: OperatorTicket,
         step: Step,
         reply: StoreReply,
         fleet: &Fleet,
-        status_old_ms: u64,
+        status_max_age_ms: u64,
         out: &mut Outbox<'_>,
     ) {
         let Some(task) = self.tasks.get_mut(&ticket) else { return };
-        match task.step_ended(step, reply, fleet, status_old_ms) {
+        match task.step_completed(step, reply, fleet, status_max_age_ms) {
             Outcome::Next(steps) => self.send(ticket, steps, out),
-            Outcome::Later(step) => self.again.push((out.now.after(RETRY_MS), ticket, step)),
+            Outcome::Retry(step) => {
+                self.retries.push((out.now.after(RETRY_DELAY_MS), ticket, step));
+            }
             Outcome::Answer(reply) => self.answer(ticket, reply, out),
         }
     }
 
-    /// Tries again what was not carried out, and ends requests whose time is up.
+    /// Retries steps that are due and completes requests whose deadline has passed.
     pub(crate) fn advance(&mut self, out: &mut Outbox<'_>) {
         let now = out.now;
-        let late: Vec<OperatorTicket> =
+        let expired: Vec<OperatorTicket> =
             self.tasks.iter().filter(|(_, t)| now >= t.deadline()).map(|(id, _)| *id).collect();
-        for ticket in late {
-            if let Some(refusal) = self.tasks.get(&ticket).map(Task::refusal_when_late) {
+        for ticket in expired {
+            if let Some(refusal) = self.tasks.get(&ticket).map(Task::deadline_refusal) {
                 self.answer(ticket, OperatorReply::Refused(refusal), out);
             }
         }
-        let due = self.again.extract_if(.., |(at, _, _)| *at <= now).collect::<Vec<_>>();
+        let due = self.retries.extract_if(.., |(at, _, _)| *at <= now).collect::<Vec<_>>();
         for (_, ticket, step) in due {
             self.send(ticket, vec![step], out);
         }
@@ -77,7 +79,7 @@
 
     fn answer(&mut self, ticket: OperatorTicket, reply: OperatorReply, out: &mut Outbox<'_>) {
         self.tasks.remove(&ticket);
-        self.again.retain(|(_, other, _)| *other != ticket);
+        self.retries.retain(|(_, other, _)| *other != ticket);
         out.push(ControllerAction::Answer { ticket, reply });
     }
 }
--- a/crates/node/src/controller/desk/status.rs
+++ b/crates/node/src/controller/operators/status.rs
@@ -8,10 +8,10 @@
 };
 use serde::de::DeserializeOwned;
 
-use crate::controller::desk::Read;
+use crate::controller::operators::Read;
 use crate::controller::state::Fleet;
 
-/// Values of a list that can be read.
+/// Returns the values of a list, without those that cannot be parsed.
 pub(crate) fn listed<T: DeserializeOwned>(reply: Option<&StoreReply>) -> Vec<T> {
     let objects = match reply {
         Some(StoreReply::Listed { objects, .. }) => objects.as_slice(),
@@ -20,7 +20,7 @@
     objects.iter().filter_map(|object| serde_json::from_str(&object.value).ok()).collect()
 }
 
-/// The value that was read, if there is one and it can be read.
+/// Returns the value of an object, if it exists and can be parsed.
 pub(crate) fn found<T: DeserializeOwned>(reply: Option<&StoreReply>) -> Option<T> {
     match reply {
         Some(StoreReply::Found(object)) => serde_json::from_str(&object.value).ok(),
@@ -28,14 +28,14 @@
     }
 }
 
-/// Puts what was read into the answer to `status`.
+/// Builds the reply to a status request.
 pub(crate) fn status_report(replies: &BTreeMap<Read, StoreReply>, fleet: &Fleet) -> StatusReport {
     let config: Option<Config> = found(replies.get(&Read::Config));
     let allocation: Option<Allocation> = found(replies.get(&Read::Allocation));
     let shares = allocation.map(|allocation| allocation.shares).unwrap_or_default();
     let placements: Vec<DomainPlacement> = listed(replies.get(&Read::Placements));
     let healths: Vec<DomainHealth> = listed(replies.get(&Read::Healths));
-    // What a former holder saw says nothing of now.
+    // The health record of a previous holder may be outdated.
     let broken = |placement: &DomainPlacement| {
         let of = healths
             .iter()
--- a/crates/node/src/controller/desk/step.rs
+++ b/crates/node/src/controller/operators/step.rs
@@ -2,20 +2,20 @@
 use celeryhaven_types::{ConfigNumber, OperatorReply};
 
 state! {
-    /// One call of the Object API on the way to an answer.
+    /// One call of the Object API for an operator request.
     #[derive(Eq, PartialOrd, Ord)]
     pub(crate) enum Step {
-        /// Something is read.
+        /// Read an object or a list.
         Read(Read),
-        /// The plan is kept.
+        /// Store the plan.
         SavePlan,
-        /// The change in force is copied to its own audit object.
+        /// Copy the record of the change in force to its own audit object.
         CopyAudit,
-        /// The new configuration is written.
+        /// Write the new configuration.
         WriteConfig,
     }
 
-    /// What is read.
+    /// An object or list to read.
     #[derive(Eq, PartialOrd, Ord)]
     pub(crate) enum Read {
         /// `config/current`.
@@ -28,21 +28,21 @@
         Placements,
         /// All leases.
         Leases,
-        /// What holders see of their domains.
+        /// Health records of all fabric domains.
         Healths,
-        /// What data centres report.
+        /// Status records of all data centres.
         Statuses,
         /// The audit record of one configuration.
         Audit(ConfigNumber),
     }
 
-    /// Where a request stands after a step.
+    /// State of a request after a step.
     pub(crate) enum Outcome {
-        /// These steps come next; none means that others are still under way.
+        /// Execute these steps next; empty while others are in progress.
         Next(Vec<Step>),
-        /// This step comes next, after a while: the Object API did not answer, or with old news.
-        Later(Step),
-        /// This is the answer.
+        /// Retry this step after a delay: the Object API did not reply, or its reply was stale.
+        Retry(Step),
+        /// Send this reply.
         Answer(OperatorReply),
     }
 }
--- a/crates/node/src/controller/desk/task.rs
+++ b/crates/node/src/controller/operators/task.rs
@@ -8,12 +8,12 @@
 };
 use serde::Serialize;
 
-use crate::controller::desk::decisions::refused;
-use crate::controller::desk::status_report;
-use crate::controller::desk::{Outcome, Read, Step};
+use crate::controller::operators::decisions::refused;
+use crate::controller::operators::status_report;
+use crate::controller::operators::{Outcome, Read, Step};
 use crate::controller::state::Fleet;
 
-/// One request of an operator.
+/// One operator request.
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub(super) operator: OperatorName,
@@ -23,15 +23,15 @@
     pub(super) waiting: BTreeSet<Read>,
     pub(super) replies: BTreeMap<Read, StoreReply>,
     pub(super) plan: Option<Plan>,
-    /// The change to be written, and the version it replaces.
+    /// The configuration to write and the version that it replaces.
     pub(super) next: Option<(Option<ObjectVersion>, Config)>,
-    /// Whether a write of the change is under way.
+    /// Whether a write of the change is in progress.
     is_writing: bool,
-    /// Whether a write of the change ended without an answer and may have taken effect.
+    /// Whether a write of the change completed without a reply and may have taken effect.
     pub(super) in_doubt: bool,
 }
 
-/// Construction and the end of its time.
+/// Construction and the deadline.
 impl Task {
     pub(crate) fn new(
         operator: OperatorName,
@@ -57,8 +57,9 @@
         self.deadline
     }
 
-    /// "Nothing changed" is said only if no write of the change can have taken effect.
-    pub(crate) const fn refusal_when_late(&self) -> OperatorRefusal {
+    /// Returns the refusal at the deadline; it says that nothing changed only if no write of the
+    /// change can have taken effect.
+    pub(crate) const fn deadline_refusal(&self) -> OperatorRefusal {
         if self.in_doubt || self.is_writing {
             OperatorRefusal::OutcomeUnknown
         } else {
@@ -93,7 +94,7 @@
         reads.into_iter().map(Step::Read).collect()
     }
 
-    /// The call that carries out a step.
+    /// Returns the call of the Object API that executes a step.
     pub(crate) fn request(&mut self, step: &Step) -> Option<StoreRequest> {
         match step {
             Step::Read(read) => Some(self.read_request(read)),
@@ -136,33 +137,33 @@
         }
     }
 
-    pub(crate) fn step_ended(
+    pub(crate) fn step_completed(
         &mut self,
         step: Step,
         reply: StoreReply,
         fleet: &Fleet,
-        status_old_ms: u64,
+        status_max_age_ms: u64,
     ) -> Outcome {
         if step == Step::WriteConfig {
             self.is_writing = false;
             self.in_doubt |= matches!(reply, StoreReply::Unknown);
         }
         match (step, reply) {
-            (step, StoreReply::Rejected) => Outcome::Later(step),
+            (step, StoreReply::Rejected) => Outcome::Retry(step),
             (Step::Read(read), StoreReply::Unknown | StoreReply::TooOld) => {
-                Outcome::Later(Step::Read(read))
+                Outcome::Retry(Step::Read(read))
             }
             (Step::Read(read), reply) => {
                 self.waiting.remove(&read);
                 self.replies.insert(read, reply);
                 if self.waiting.is_empty() {
-                    self.decide(fleet, status_old_ms)
+                    self.decide(fleet, status_max_age_ms)
                 } else {
                     Outcome::Next(Vec::new())
                 }
             }
-            // Both are created once with content that follows from their name, so it does not
-            // matter who did it, or when.
+            // Both objects are immutable and their content follows from their name, so a conflict
+            // means that the object already exists.
             (Step::SavePlan, StoreReply::Written { .. } | StoreReply::Conflict) => {
                 match self.plan.take() {
                     Some(plan) => Outcome::Answer(OperatorReply::Planned(plan)),
@@ -173,20 +174,20 @@
                 Outcome::Next(vec![Step::WriteConfig])
             }
             (Step::WriteConfig, StoreReply::Written { .. }) => self.accepted(),
-            // A conflict may come from an earlier try of ours that took effect unanswered.
+            // The conflict may come from an earlier attempt that took effect without a reply.
             (Step::WriteConfig, _) => Outcome::Next(self.read(vec![Read::Config])),
-            (step, _) => Outcome::Later(step),
+            (step, _) => Outcome::Retry(step),
         }
     }
 
-    pub(super) fn decide(&mut self, fleet: &Fleet, status_old_ms: u64) -> Outcome {
+    pub(super) fn decide(&mut self, fleet: &Fleet, status_max_age_ms: u64) -> Outcome {
         if self.next.is_some() {
-            return self.look_again(fleet);
+            return self.resolve_unknown_write(fleet);
         }
         match self.request.clone() {
             OperatorRequest::Plan { intent } => self.plan(intent, fleet),
             OperatorRequest::Confirm { plan, without } => {
-                self.confirm(&plan, &without, status_old_ms)
+                self.confirm(&plan, &without, status_max_age_ms)
             }
             OperatorRequest::Status => {
                 Outcome::Answer(OperatorReply::Status(status_report(&self.replies, fleet)))
@@ -214,7 +215,7 @@
     ObjectKey::new(format!("audit/{number}"))
 }
 
-/// A value of plain names, numbers and lists always has a JSON form.
+/// Serialisation cannot fail: the values contain only names, numbers and lists.
 fn text<T: Serialize>(value: &T) -> Arc<str> {
     serde_json::to_string(value).unwrap_or_default().into()
 }
--- a/crates/node/src/controller/state/calls.rs
+++ b/crates/node/src/controller/state/calls.rs
@@ -4,11 +4,11 @@
 use celeryhaven_types::store::StoreCallId;
 use celeryhaven_types::{DomainName, TimeMs};
 
-use crate::controller::desk::Step;
 use crate::controller::interface::OperatorTicket;
+use crate::controller::operators::Step;
 
 state! {
-    /// Who waits for the answer to a call of the Object API.
+    /// Destination of a reply of the Object API.
     pub(crate) enum Route {
         /// The list of all leases.
         Leases,
@@ -18,7 +18,7 @@
         AllocationLease,
         /// The placement of a fabric domain.
         Placement(DomainName),
-        /// What the holder of a fabric domain sees of it.
+        /// The health record of a fabric domain.
         Health(DomainName),
         /// The allocation, by its holder.
         Allocation,
@@ -28,40 +28,40 @@
         Config,
         /// The allocation, for holders of domains.
         Shares,
-        /// A step of an operator's request.
+        /// A step of an operator request.
         Operator(OperatorTicket, Step),
     }
 }
 
-/// Calls of the Object API that have no answer yet.
+/// Calls of the Object API in progress.
 ///
-/// A call that stays without an answer ends as unknown, and its late answer is dropped: it could
-/// otherwise be taken for the answer to a later call.
+/// A call that times out completes as unknown, and a reply that arrives later is dropped, so that
+/// it is not mistaken for the reply to a later call.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Calls {
     last: StoreCallId,
-    waiting: BTreeMap<StoreCallId, (TimeMs, Route)>,
+    pending: BTreeMap<StoreCallId, (TimeMs, Route)>,
 }
 
 impl Calls {
     pub(crate) fn begin(&mut self, now: TimeMs, route: Route) -> StoreCallId {
         self.last = self.last.next();
-        self.waiting.insert(self.last, (now, route));
+        self.pending.insert(self.last, (now, route));
         self.last
     }
 
-    pub(crate) fn end(&mut self, call: StoreCallId) -> Option<Route> {
-        self.waiting.remove(&call).map(|(_, route)| route)
+    pub(crate) fn complete(&mut self, call: StoreCallId) -> Option<Route> {
+        self.pending.remove(&call).map(|(_, route)| route)
     }
 
-    /// Ends the oldest call that has waited for too long.
-    pub(crate) fn end_late(
+    /// Removes the oldest call that has timed out.
+    pub(crate) fn take_timed_out(
         &mut self,
         now: TimeMs,
         timeout_ms: u64,
     ) -> Option<(StoreCallId, Route)> {
-        let late = self.waiting.iter().find(|(_, (sent, _))| now.since(*sent) >= timeout_ms);
-        let call = late.map(|(call, _)| *call)?;
-        self.end(call).map(|route| (call, route))
+        let timed_out = self.pending.iter().find(|(_, (sent, _))| now.since(*sent) >= timeout_ms);
+        let call = timed_out.map(|(call, _)| *call)?;
+        self.complete(call).map(|route| (call, route))
     }
 }
--- a/crates/node/src/controller/state/capacity.rs
+++ b/crates/node/src/controller/state/capacity.rs
@@ -5,23 +5,23 @@
 
 use crate::controller::state::Fleet;
 
-/// How many VMs each fabric domain counts as having.
+/// VM counts of fabric domains, with a delay before a decrease.
 ///
-/// More count at once, fewer only after a while: a VM that is being restarted would otherwise move
-/// a replica to another domain, at the cost of a whole load, and the next one back.
+/// Without the delay, a VM restart would move a replica to another domain, at the cost of a full
+/// load, and the next restart would move it back.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CapacityHold {
-    held: BTreeMap<DomainName, Held>,
+    held: BTreeMap<DomainName, HeldCapacity>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldCapacity {
     vms: u32,
-    fewer_since: Option<TimeMs>,
+    decrease_since: Option<TimeMs>,
 }
 
 impl CapacityHold {
-    pub(crate) fn count(
+    pub(crate) fn capacities(
         &mut self,
         now: TimeMs,
         hold_ms: u64,
@@ -34,27 +34,28 @@
                 domain: domain.clone(),
                 data_centre: data_centre.clone(),
                 accelerators_per_vm: fleet.accelerators_per_vm(domain),
-                vms: self.smooth(now, hold_ms, domain, fleet.staying(domain, config)),
+                vms: self.hold(now, hold_ms, domain, fleet.staying_vms(domain, config)),
             })
             .collect()
     }
 
-    fn smooth(&mut self, now: TimeMs, hold_ms: u64, domain: &DomainName, vms: u32) -> u32 {
-        let held = self.held.entry(domain.clone()).or_insert(Held { vms, fewer_since: None });
+    fn hold(&mut self, now: TimeMs, hold_ms: u64, domain: &DomainName, vms: u32) -> u32 {
+        let held =
+            self.held.entry(domain.clone()).or_insert(HeldCapacity { vms, decrease_since: None });
         if vms >= held.vms {
-            *held = Held { vms, fewer_since: None };
+            *held = HeldCapacity { vms, decrease_since: None };
             return vms;
         }
-        let since = *held.fewer_since.get_or_insert(now);
+        let since = *held.decrease_since.get_or_insert(now);
         if now.since(since) >= hold_ms {
-            *held = Held { vms, fewer_since: None };
+            *held = HeldCapacity { vms, decrease_since: None };
         }
         held.vms
     }
 }
 
-/// How many VMs each fabric domain has right now, for a plan.
-pub(crate) fn capacity_now(fleet: &Fleet, config: Option<&Config>) -> Vec<DomainCapacity> {
+/// Returns the current capacity of each fabric domain, for a plan.
+pub(crate) fn current_capacity(fleet: &Fleet, config: Option<&Config>) -> Vec<DomainCapacity> {
     let domains = fleet.domains().iter();
     domains
         .map(|(domain, data_centre)| DomainCapacity {
@@ -63,7 +64,7 @@
             accelerators_per_vm: fleet.accelerators_per_vm(domain),
             vms: config.map_or_else(
                 || fleet.engines(domain).count() as u32,
-                |config| fleet.staying(domain, config),
+                |config| fleet.staying_vms(domain, config),
             ),
         })
         .collect()
--- a/crates/node/src/controller/state/fleet.rs
+++ b/crates/node/src/controller/state/fleet.rs
@@ -4,17 +4,17 @@
     Config, DataCentreName, DomainName, NodeName, VmEntry, VmName, VmPhase, VmRole,
 };
 
-/// What the platform's VM list says, and fabric domains that it ever named.
+/// The platform's VM list, and the fabric domains that it has ever named.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Fleet {
     entries: BTreeMap<VmName, VmEntry>,
     domains: BTreeMap<DomainName, DataCentreName>,
-    is_known: bool,
+    is_loaded: bool,
 }
 
 impl Fleet {
-    pub(crate) fn take(&mut self, entries: Vec<VmEntry>) {
-        self.is_known = true;
+    pub(crate) fn apply_list(&mut self, entries: Vec<VmEntry>) {
+        self.is_loaded = true;
         self.entries = entries.into_iter().map(|entry| (entry.vm.clone(), entry)).collect();
         for entry in self.entries.values().filter(|entry| entry.role == VmRole::Engine) {
             if let Some(domain) = &entry.domain {
@@ -23,11 +23,11 @@
         }
     }
 
-    pub(crate) const fn is_known(&self) -> bool {
-        self.is_known
+    pub(crate) const fn is_loaded(&self) -> bool {
+        self.is_loaded
     }
 
-    /// Fabric domains with their data centres.
+    /// Returns the fabric domains with their data centres.
     pub(crate) const fn domains(&self) -> &BTreeMap<DomainName, DataCentreName> {
         &self.domains
     }
@@ -36,7 +36,7 @@
         self.entries.get(vm)
     }
 
-    /// Engine VMs of a fabric domain.
+    /// Returns the engine VMs of a fabric domain.
     pub(crate) fn engines<'a>(
         &'a self,
         domain: &'a DomainName,
@@ -45,15 +45,15 @@
         engines.filter(move |entry| entry.domain.as_ref() == Some(domain))
     }
 
-    /// Engine VMs of a fabric domain that stay.
-    pub(crate) fn staying(&self, domain: &DomainName, config: &Config) -> u32 {
+    /// Counts the engine VMs of a fabric domain that are neither leaving nor drained.
+    pub(crate) fn staying_vms(&self, domain: &DomainName, config: &Config) -> u32 {
         let drained: BTreeSet<&VmName> = config.drained_vms.iter().collect();
         let engines = self.engines(domain);
         let stays = |entry: &&VmEntry| entry.phase == VmPhase::Live && !drained.contains(&entry.vm);
         engines.filter(stays).count() as u32
     }
 
-    /// Accelerators of one engine VM of a fabric domain, rounded down to the mean.
+    /// Returns the mean number of accelerators of a fabric domain's engine VMs, rounded down.
     pub(crate) fn accelerators_per_vm(&self, domain: &DomainName) -> u32 {
         let count = self.engines(domain).count().max(1) as u32;
         self.engines(domain).map(|entry| entry.accelerators).sum::<u32>() / count
--- a/crates/node/src/controller/state/lease_slot.rs
+++ b/crates/node/src/controller/state/lease_client.rs
@@ -5,18 +5,17 @@
 use crate::controller::interface::ControllerAction;
 use crate::controller::state::{Outbox, Route};
 
-/// A lease and its call under way.
+/// A lease and its call in progress.
 ///
-/// The lease gives up on a call by itself; an answer is handed to it only if it belongs to the call
-/// it made last.
+/// The lease times out its calls itself; only a reply to its most recent call is passed to it.
 #[derive(Clone, Debug)]
-pub(crate) struct LeaseSlot {
+pub(crate) struct LeaseClient {
     pub(crate) lease: Lease,
     route: Route,
     call: Option<StoreCallId>,
 }
 
-impl LeaseSlot {
+impl LeaseClient {
     pub(crate) const fn new(lease: Lease, route: Route) -> Self {
         Self { lease, route, call: None }
     }
--- a/crates/node/src/controller/state/tenure.rs
+++ b/crates/node/src/controller/state/lease_term.rs
@@ -4,33 +4,33 @@
 use celeryhaven_types::{Config, DomainName, Fence, TimeMs, VmEntry, VmName, VmPhase};
 
 use crate::controller::interface::{ControllerAction, ControllerOptions};
-use crate::controller::state::{Fleet, OrderBook, Outbox};
+use crate::controller::state::{Fleet, OrderTracker, Outbox};
 
-/// What the holder of a domain's lease keeps for as long as it holds it.
+/// State of a domain's holder during one lease term.
 #[derive(Clone, Debug)]
-pub(crate) struct Tenure {
+pub(crate) struct LeaseTerm {
     pub(crate) fence: Fence,
     pub(crate) planner: DomainPlanner,
     pub(crate) vms: BTreeMap<VmName, VmState>,
-    pub(crate) orders: OrderBook,
-    pub(crate) writes: u64,
+    pub(crate) orders: OrderTracker,
+    pub(crate) next_write_id: u64,
     polled_at: BTreeMap<VmName, TimeMs>,
 }
 
-impl Tenure {
+impl LeaseTerm {
     pub(crate) fn new(fence: Fence, options: &ControllerOptions) -> Self {
         Self {
             fence,
             planner: DomainPlanner::new(options.placement),
             vms: BTreeMap::new(),
-            orders: OrderBook::default(),
-            writes: 0,
+            orders: OrderTracker::default(),
+            next_write_id: 0,
             polled_at: BTreeMap::new(),
         }
     }
 
-    /// Brings its VMs in line with the VM list and the configuration.
-    pub(crate) fn follow(
+    /// Updates the VMs from the VM list and the configuration.
+    pub(crate) fn update_vms(
         &mut self,
         now: TimeMs,
         domain: &DomainName,
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Polls every member that is due.
+    /// Polls every listed member that is due.
     ///
-    /// Only members that the list shows: another VM may have the address of one that it dropped.
+    /// The address of an unlisted member may have been reassigned to another VM.
     pub(crate) fn poll(&mut self, interval_ms: u64, out: &mut Outbox<'_>) {
         for (vm, state) in self.vms.iter().filter(|(_, state)| state.listed) {
             let due = self.polled_at.get(vm).is_none_or(|at| out.now.since(*at) >= interval_ms);
--- a/crates/node/src/controller/state/outbox.rs
+++ b/crates/node/src/controller/state/outbox.rs
@@ -4,7 +4,7 @@
 use crate::controller::interface::ControllerAction;
 use crate::controller::state::{Calls, Route};
 
-/// Where parts of a controller put what they want done.
+/// Collects the actions of a controller's components.
 #[derive(Debug)]
 pub(crate) struct Outbox<'a> {
     pub(crate) now: TimeMs,
--- a/crates/node/src/controller/state/reader.rs
+++ b/crates/node/src/controller/state/reader.rs
@@ -2,25 +2,30 @@
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use serde::de::DeserializeOwned;
 
-/// An object that somebody else writes, read every now and then.
+/// An object that another process writes, read periodically.
 ///
-/// An older version than known is refused: reads of the store may be stale, and a configuration
-/// that went back would stop replicas that are wanted.
+/// Reads of the store may be stale. A version older than the known one is ignored: with an older
+/// configuration, wanted replicas would be stopped.
 #[derive(Clone, Debug)]
 pub(crate) struct Reader<T> {
     key: ObjectKey,
-    known: Option<(ObjectVersion, T)>,
+    latest: Option<(ObjectVersion, T)>,
     is_reading: bool,
     due_at: TimeMs,
 }
 
 impl<T: DeserializeOwned> Reader<T> {
     pub(crate) fn new(key: &str) -> Self {
-        Self { key: ObjectKey::new(key), known: None, is_reading: false, due_at: TimeMs::default() }
+        Self {
+            key: ObjectKey::new(key),
+            latest: None,
+            is_reading: false,
+            due_at: TimeMs::default(),
+        }
     }
 
     pub(crate) fn value(&self) -> Option<&T> {
-        self.known.as_ref().map(|(_, value)| value)
+        self.latest.as_ref().map(|(_, value)| value)
     }
 
     pub(crate) fn poll(&mut self, now: TimeMs, interval_ms: u64) -> Option<StoreRequest> {
@@ -35,14 +40,14 @@
     pub(crate) fn reply(&mut self, reply: &StoreReply) {
         self.is_reading = false;
         if let StoreReply::Found(object) = reply {
-            self.take(object);
+            self.apply(object);
         }
     }
 
-    fn take(&mut self, object: &Object) {
-        let is_newer = self.known.as_ref().is_none_or(|(version, _)| object.version > *version);
+    fn apply(&mut self, object: &Object) {
+        let is_newer = self.latest.as_ref().is_none_or(|(version, _)| object.version > *version);
         if let Some(value) = serde_json::from_str(&object.value).ok().filter(|_| is_newer) {
-            self.known = Some((object.version, value));
+            self.latest = Some((object.version, value));
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,10 @@
-//! One node's whole behaviour as a state machine without I/O.
+//! Controller and entry nodes as state machines without I/O.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`machine`] | the interface that drivers and benches use |
-//! | [`controller`] | what a controller process hears and does |
-//! | [`entry`] | what an entry process hears and does |
+//! | [`machine`] | interface to drivers and benches |
+//! | [`controller`] | state machine of a controller |
+//! | [`entry`] | state machine of an entry |
 
 pub mod controller;
 pub mod entry;
--- a/crates/node/src/machine/mod.rs
+++ b/crates/node/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The interface that drivers and benches use.
+//! The interface of state machines to drivers and benches.
 
 mod state_machine;
 
--- a/crates/node/src/machine/state_machine.rs
+++ b/crates/node/src/machine/state_machine.rs
@@ -1,15 +1,15 @@
 use celeryhaven_types::TimeMs;
 
-/// A deterministic state machine: time and events in, actions out.
+/// A deterministic state machine that maps events and the current time to actions.
 pub trait Machine {
-    /// What it hears.
+    /// Input of the state machine.
     type Event;
-    /// What it wants done.
+    /// Output of the state machine, executed by the driver.
     type Action;
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Processes one event and appends the resulting actions, in order.
     fn handle(&mut self, now: TimeMs, event: Self::Event, out: &mut Vec<Self::Action>);
 
-    /// When its tick event is due; `None` while nothing waits for time.
+    /// Returns when the next tick event is due; `None` if no timer is set.
     fn next_wake(&self) -> Option<TimeMs>;
 }
--- a/crates/node/tests/controller_operators.rs
+++ b/crates/node/tests/controller_operators.rs
@@ -1,4 +1,4 @@
-//! Operators who race one another, lost answers, an absent store: one history, never reverting.
+//! Concurrent operators, lost replies and store outages leave one history without reverted changes.
 
 mod controllers;
 
@@ -29,8 +29,7 @@
     key.as_str() == "config/current"
 }
 
-/// Two operators make plans from one configuration, each unaware of the other. The second to
-/// confirm would silently undo the first one's change. It gets a conflict and nothing changes.
+/// The second of two plans made from one configuration silently reverts the first.
 #[test]
 fn confirm_racing_plans_second_gets_conflict() {
     let mut world = world();
@@ -50,8 +49,7 @@
     world.check_history();
 }
 
-/// A plan lies for a day while others change the configuration. Its effects were worked out from
-/// what is long gone; confirming it would also undo what came since.
+/// An outdated plan reverts the changes made since.
 #[test]
 fn confirm_old_plan_is_conflict() {
     let mut world = world();
@@ -65,7 +63,7 @@
 }
 
 #[test]
-fn confirm_twice_says_so() {
+fn confirm_twice_reports_already_confirmed() {
     let mut world = world();
     let plan = world.plan(0, &intent(vec![deployment("draft", 1, 5)]));
     assert!(matches!(world.confirm(0, "anna", &plan), OperatorReply::Accepted(_)));
@@ -78,8 +76,8 @@
     world.check_history();
 }
 
-/// Two operators confirm the same plan at the same moment at two controllers. Both would be told
-/// that they did it, and the audit record would name one of them.
+/// Two operators who confirm one plan at the same time are both told that they changed the
+/// configuration.
 #[test]
 fn confirm_same_plan_at_once_accepts_one() {
     let mut world = world();
@@ -93,8 +91,7 @@
     world.check_history();
 }
 
-/// The write takes effect, its answer is lost. Written again blindly, the change would come twice,
-/// or its operator would be told of a conflict with himself.
+/// A write whose reply was lost is applied twice or reported as a conflict with itself.
 #[test]
 fn confirm_answer_lost_is_accepted_once() {
     let mut world = world();
@@ -115,8 +112,7 @@
     world.check_history();
 }
 
-/// The write's answer is lost, and before it is read back another operator's change comes on top.
-/// The first change is in the record of the one before: accepted, not a conflict.
+/// A write whose reply was lost is reported as a conflict because another change follows it.
 #[test]
 fn confirm_answer_lost_and_overtaken_is_accepted() {
     let mut world = world();
@@ -143,17 +139,16 @@
     world.check_history();
 }
 
-/// The write never reaches the store, or its answer never comes back, for as long as the operator
-/// waits. "Nothing changed" would be a lie in the second case.
+/// A request without a conclusive reply by its deadline is reported as unchanged.
 #[test]
-fn confirm_store_away_says_unknown_not_unchanged() {
+fn confirm_store_unavailable_reports_outcome_unknown() {
     for fault in [StoreFault::Down, StoreFault::AnswerLost] {
         let mut world = world();
         let plan = world.plan(0, &intent(vec![deployment("draft", 1, 5)]));
-        let mut away = false;
+        let mut is_down = false;
         world.fault = Box::new(move |request| {
-            away |= is_config_write(request);
-            match (away, is_config_write(request)) {
+            is_down |= is_config_write(request);
+            match (is_down, is_config_write(request)) {
                 (true, true) => fault,
                 (true, false) => StoreFault::Down,
                 (false, _) => StoreFault::None,
@@ -165,7 +160,7 @@
 }
 
 #[test]
-fn plan_store_away_says_nothing_changed() {
+fn plan_store_unavailable_reports_nothing_changed() {
     let mut world = world();
     world.fault = Box::new(|_| StoreFault::Down);
     let request = OperatorRequest::Plan { intent: intent(vec![deployment("draft", 1, 5)]) };
@@ -173,8 +168,7 @@
     assert_eq!(refusal(world.wait_for(ticket)), OperatorRefusal::StoreUnavailable);
 }
 
-/// Stale reads show the configuration before the last one. A change made from it would revert the
-/// last; it names a version that is gone.
+/// A change made from a stale read reverts the last change.
 #[test]
 fn confirm_with_stale_reads_never_reverts() {
     let mut world = world();
@@ -194,7 +188,7 @@
     world.check_history();
 }
 
-/// Many changes by three operators at three controllers, with every fifth answer lost.
+/// Concurrent changes with lost replies leave a gap or a duplicate in the history.
 #[test]
 fn history_of_many_racing_changes_has_no_gap() {
     let mut world = world();
@@ -235,8 +229,7 @@
     assert_eq!(refusal(world.wait_for(ticket)), OperatorRefusal::UnknownNode { node });
 }
 
-/// A data centre has not reported for long: a change would not be in force there within seconds.
-/// The operator has to say that this is meant.
+/// A change is accepted without a warning about a data centre that no longer reports.
 #[test]
 fn confirm_old_status_needs_without() {
     let mut world = world();
--- a/crates/node/tests/controller_path.rs
+++ b/crates/node/tests/controller_path.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn status_and_audit_show_what_stands() {
+fn status_and_audit_show_current_state() {
     let mut world = World::new(3, 2, 5, FencingMode::Checked);
     world.declare(0, &intent(vec![deployment("draft", 4, 5)]));
     world.declare(1, &intent(vec![deployment("draft", 5, 5)]));
@@ -36,16 +36,15 @@
     assert_eq!(records[0].operator.as_str(), "anna");
 }
 
-/// A whole domain goes dark. The placement still says that its replicas are to serve; an operator
-/// who read only that would look for the fault elsewhere.
+/// The status reports replicas of an unreachable domain as serving.
 #[test]
-fn status_shows_broken_replicas_of_dark_domain() {
+fn status_shows_broken_replicas_of_unreachable_domain() {
     let mut world = World::new(3, 2, 5, FencingMode::Checked);
     world.declare(0, &intent(vec![deployment("draft", 4, 5)]));
     world.run_until("all serve", |world| world.serving() == 4);
     world.run_ms(10_000);
-    let dark = world.members.values_mut().filter(|m| m.vm.as_str().starts_with("vm-1"));
-    dark.for_each(|member| member.alive = false);
+    let unreachable = world.members.values_mut().filter(|m| m.vm.as_str().starts_with("vm-1"));
+    unreachable.for_each(|member| member.alive = false);
     world.run_ms(10_000);
     let ticket = world.ask(0, "anna", OperatorRequest::Status);
     let OperatorReply::Status(status) = world.wait_for(ticket) else { panic!("no status") };
--- a/crates/node/tests/controller_planned.rs
+++ b/crates/node/tests/controller_planned.rs
@@ -1,4 +1,4 @@
-//! Planned stops under load: no request in flight is cut off.
+//! Planned changes under load interrupt no request.
 
 mod controllers;
 
@@ -17,11 +17,10 @@
     world
 }
 
-/// A new version goes across a deployment under load; in the middle the controller that does it is
-/// stopped, and later another is killed. Callers of a replica that is replaced would lose their
-/// answers if it were not drained, or if the next holder forgot that it was being drained.
+/// A rolling version change interrupts requests when controllers stop or crash in between and the
+/// next holder does not continue to drain.
 #[test]
-fn version_change_under_load_cuts_off_nothing() {
+fn version_change_under_load_interrupts_no_request() {
     let mut world = loaded_world();
     let mut draft = deployment("draft", 4, 5);
     draft.version = ModelVersion::new("2");
@@ -47,34 +46,34 @@
             world.kill(holder);
             replaced = 2;
         }
-        assert!(elapsed_ms < 600_000, "it does not end");
+        assert!(elapsed_ms < 600_000, "the version change does not complete");
     }
     let took_ms = world.now.since(began);
     println!("4 replicas changed under load in {took_ms} ms; fewest serving: {fewest}");
     assert_eq!(replaced, 2);
-    assert_eq!(world.cut_off(), 0);
+    assert_eq!(world.interrupted(), 0);
     assert!(fewest >= 3);
 }
 
-/// The platform announces that a VM will stop; the VM list tells it late.
+/// Requests are interrupted when a VM is announced to leave and the VM list reports it late.
 #[test]
-fn leaving_vm_under_load_cuts_off_nothing() {
+fn leaving_vm_under_load_interrupts_no_request() {
     let mut world = loaded_world();
     let vm = world.replicas()[0].vms[0].clone();
     world.set_phase(&vm, VmPhase::Leaving);
-    let took_ms = world.run_until("it is out of every replica", |world| {
+    let took_ms = world.run_until("the VM is in no replica", |world| {
         world.placements().iter().all(|placement| {
             placement.releasing.iter().all(|releasing| releasing.vm != vm)
                 && placement.replicas.iter().all(|replica| !replica.vms.contains(&vm))
         })
     });
     println!("a leaving VM was free {took_ms} ms after it was announced, requests take up to 10 s");
-    assert_eq!(world.cut_off(), 0);
+    assert_eq!(world.interrupted(), 0);
     world.run_until("all serve", |world| world.serving() == 4);
 }
 
 #[test]
-fn drained_vm_under_load_cuts_off_nothing_and_undo_brings_it_back() {
+fn drained_vm_under_load_interrupts_no_request_and_undo_restores_it() {
     let mut world = loaded_world();
     let vm = world.replicas()[0].vms[0].clone();
     let drain = |vm: &VmName, drained| OperatorRequest::DrainVm { vm: vm.clone(), drained };
@@ -84,39 +83,39 @@
         world.replicas().iter().all(|replica| !replica.vms.contains(&vm)) && world.serving() == 4
     };
     world.run_until("it is free and all serve", is_free);
-    assert_eq!(world.cut_off(), 0);
+    assert_eq!(world.interrupted(), 0);
     let ticket = world.ask(2, "anna", drain(&vm, false));
     assert!(matches!(world.wait_for(ticket), OperatorReply::Accepted(_)));
     assert!(world.config().expect("accepted").drained_vms.is_empty());
 }
 
 #[test]
-fn fewer_replicas_under_load_cuts_off_nothing() {
+fn fewer_replicas_under_load_interrupts_no_request() {
     let mut world = loaded_world();
     world.declare(0, &intent(vec![deployment("draft", 2, 5)]));
-    world.run_until("two are gone", |world| world.replicas().len() == 2);
-    assert_eq!(world.cut_off(), 0);
+    world.run_until("two replicas are removed", |world| world.replicas().len() == 2);
+    assert_eq!(world.interrupted(), 0);
     assert_eq!(world.serving(), 2);
 }
 
-/// Every controller leaves and starts anew, one after the other, while replicas serve.
+/// Replicas are changed when every controller is restarted in turn.
 #[test]
-fn controllers_replaced_in_turn_disturb_nothing() {
+fn controllers_replaced_in_turn_change_no_replica() {
     let mut world = loaded_world();
     let before = world.replicas();
     for node in 0..world.controllers() {
         let held_it = world.holder_of("f0") == Some(node);
         world.leave(node);
         world.run_until("it has left", |world| !world.is_alive(node));
-        let took_ms = world.run_until("another holds", |world| world.holder_of("f0").is_some());
+        let took_ms = world.run_until("another holder", |world| world.holder_of("f0").is_some());
         println!("controller {node} left, it held the domain: {held_it}, taken after {took_ms} ms");
-        // Given up, a lease need not lapse first.
+        // A released lease is taken without waiting for its expiry.
         assert!(took_ms < world.options.lease.ttl_ms);
         world.run_ms(5_000);
         world.restart(node);
         world.run_ms(5_000);
     }
     assert_eq!(world.replicas(), before);
-    assert_eq!(world.cut_off(), 0);
+    assert_eq!(world.interrupted(), 0);
     assert!(world.holder_of("f0").is_some() && world.holder_of("f1").is_some());
 }
--- a/crates/node/tests/controller_random.rs
+++ b/crates/node/tests/controller_random.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults with fixed seeds; what must hold is checked in every step.
+//! Random fault schedules with fixed seeds; invariants are checked in every step.
 
 mod controllers;
 
@@ -7,16 +7,16 @@
 
 use celeryhaven_types::store::StoreRequest;
 use celeryhaven_types::{FencingMode, ModelVersion, OperatorRequest, VmName, VmPhase};
-use controllers::{Deed, FakeMember, Hold, StoreFault, Trap, World, deployment, intent};
+use controllers::{FakeMember, Pause, StoreFault, Trap, TrapAction, World, deployment, intent};
 use quickcheck::{Arbitrary, Gen};
 
-/// Something that happens; numbers are taken modulo what there is.
+/// One step of a schedule; indices are taken modulo the number of nodes or VMs.
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum ScheduleStep {
     KillController(usize),
     LeaveController(usize),
     RestartController(usize),
-    Trap { node: usize, deed: Deed, hold: Hold, clock_stops: bool },
+    Trap { node: usize, action: TrapAction, pause: Pause, clock_stops: bool },
     Pause { node: usize, clock_stops: bool },
     Resume(usize),
     RestartMember(usize),
@@ -30,7 +30,7 @@
     Wait(u64),
 }
 
-impl Arbitrary for Act {
+impl Arbitrary for ScheduleStep {
     fn arbitrary(g: &mut Gen) -> Self {
         let n = |g: &mut Gen| usize::arbitrary(g);
         let flag = |g: &mut Gen| bool::arbitrary(g);
@@ -40,8 +40,8 @@
             2 | 3 => Self::RestartController(n(g)),
             4 | 5 => Self::Trap {
                 node: n(g),
-                deed: if flag(g) { Deed::Join } else { Deed::Placement },
-                hold: if flag(g) { Hold::InsideWrite } else { Hold::BeforeCheck },
+                action: if flag(g) { TrapAction::Join } else { TrapAction::Placement },
+                pause: if flag(g) { Pause::InsideWrite } else { Pause::BeforeCheck },
                 clock_stops: flag(g),
             },
             6 => Self::Pause { node: n(g), clock_stops: flag(g) },
@@ -67,7 +67,7 @@
     }
 }
 
-/// Shares of calls that fail, in percent, with the state of a small generator.
+/// Percentages of calls that fail, and the state of a linear congruential generator.
 #[derive(Clone, Copy, Debug, Default)]
 struct Faults {
     down: u64,
@@ -123,59 +123,59 @@
         vms[number % vms.len()].clone()
     }
 
-    fn act(&mut self, act: Act) {
+    fn apply(&mut self, step: ScheduleStep) {
         let node = |n: usize| n % 3;
-        match act {
-            Act::KillController(n) => self.world.kill(node(n)),
-            Act::LeaveController(n) => self.world.leave(node(n)),
-            Act::RestartController(n) => self.world.restart(node(n)),
-            Act::Trap { node: n, deed, hold, clock_stops } => {
-                self.world.trap = Some(Trap { node: node(n), deed, hold, clock_stops });
+        match step {
+            ScheduleStep::KillController(n) => self.world.kill(node(n)),
+            ScheduleStep::LeaveController(n) => self.world.leave(node(n)),
+            ScheduleStep::RestartController(n) => self.world.restart(node(n)),
+            ScheduleStep::Trap { node: n, action, pause, clock_stops } => {
+                self.world.trap = Some(Trap { node: node(n), action, pause, clock_stops });
             }
-            Act::Pause { node: n, clock_stops } => {
-                if !self.world.is_held(node(n)) {
-                    self.world.hold(node(n), Hold::BeforeCheck, clock_stops);
+            ScheduleStep::Pause { node: n, clock_stops } => {
+                if !self.world.is_paused(node(n)) {
+                    self.world.pause(node(n), Pause::BeforeCheck, clock_stops);
                 }
             }
-            Act::Resume(n) => self.world.resume(node(n)),
-            Act::RestartMember(n) => {
+            ScheduleStep::Resume(n) => self.world.resume(node(n)),
+            ScheduleStep::RestartMember(n) => {
                 let vm = self.vm(n);
                 self.world.members.get_mut(&vm).expect("known").restart();
             }
-            Act::KillMember(n) => {
+            ScheduleStep::KillMember(n) => {
                 let vm = self.vm(n);
                 self.world.members.get_mut(&vm).expect("known").alive = false;
             }
-            Act::ReviveMembers => {
+            ScheduleStep::ReviveMembers => {
                 let dead = self.world.members.values_mut().filter(|member| !member.alive);
                 dead.for_each(FakeMember::restart);
             }
-            Act::AnnounceLeaving(n) => {
+            ScheduleStep::AnnounceLeaving(n) => {
                 let vm = self.vm(n);
                 self.world.set_phase(&vm, VmPhase::Leaving);
             }
-            Act::CancelLeaving => {
+            ScheduleStep::CancelLeaving => {
                 self.world.list.iter_mut().for_each(|entry| entry.phase = VmPhase::Live);
             }
-            Act::Replicas { node: n, wanted, version } => {
+            ScheduleStep::Replicas { node: n, wanted, version } => {
                 let intent = self.intent(wanted, version);
                 let plan = OperatorRequest::Plan { intent };
                 self.world.ask_and_confirm(node(n), plan);
             }
-            Act::Drain { node: n, vm, drained } => {
+            ScheduleStep::Drain { node: n, vm, drained } => {
                 let request = OperatorRequest::DrainVm { vm: self.vm(vm), drained };
                 self.world.ask(node(n), "bela", request);
             }
-            Act::Faults { down, lost, stale } => {
+            ScheduleStep::Faults { down, lost, stale } => {
                 let state = self.faults.borrow().state;
                 *self.faults.borrow_mut() = Faults { down, lost, stale, state };
             }
-            Act::Wait(span_ms) => self.world.run_ms(span_ms),
+            ScheduleStep::Wait(span_ms) => self.world.run_ms(span_ms),
         }
         self.world.run_ms(400);
     }
 
-    /// Ends every fault and waits until what is wanted serves.
+    /// Ends every fault and waits until the wanted replicas serve.
     fn heal(&mut self) {
         *self.faults.borrow_mut() = Faults::default();
         self.world.trap = None;
@@ -185,8 +185,8 @@
                 self.world.restart(node);
             }
         }
-        self.act(Act::ReviveMembers);
-        self.act(Act::CancelLeaving);
+        self.apply(ScheduleStep::ReviveMembers);
+        self.apply(ScheduleStep::CancelLeaving);
         self.world.run_ms(15_000);
         let drained = self.world.config().expect("accepted").drained_vms;
         for vm in drained {
@@ -196,7 +196,7 @@
         }
         let deployment = self.world.config().expect("accepted").intent.deployments[0].clone();
         let (wanted, version) = (deployment.replicas as usize, deployment.version);
-        self.world.run_until("what is wanted serves, and nothing else", |world| {
+        self.world.run_until("exactly the wanted replicas serve", |world| {
             let replicas = world.replicas();
             world.serving() == wanted
                 && replicas.len() == wanted
@@ -205,37 +205,39 @@
     }
 }
 
-/// Runs schedules of one kind of members; the longest that one named another replica while placed.
+/// Runs schedules with one fencing mode; returns the longest time for which a member reported
+/// another replica than the one that it is placed in, in milliseconds.
 fn run_schedules(fencing: FencingMode, seeds: std::ops::Range<u64>) -> u64 {
-    let mut astray_ms_max = 0;
+    let mut mismatch_ms_max = 0;
     for seed in seeds {
         let mut generator = Gen::from_size_and_seed(40, seed);
-        let acts: Vec<Act> = (0..40).map(|_| Act::arbitrary(&mut generator)).collect();
+        let steps: Vec<ScheduleStep> =
+            (0..40).map(|_| ScheduleStep::arbitrary(&mut generator)).collect();
         let mut run = Run::new(fencing, seed);
-        for act in acts {
-            run.act(act);
+        for step in steps {
+            run.apply(step);
         }
         run.heal();
         run.world.check_history();
-        astray_ms_max = astray_ms_max.max(run.world.astray_ms_max);
+        mismatch_ms_max = mismatch_ms_max.max(run.world.mismatch_ms_max);
     }
-    astray_ms_max
+    mismatch_ms_max
 }
 
-/// Members that check: whatever happens, no VM is in two replicas, in the store or by its own
-/// report, accepted configurations form one history, and all is served once faults end.
+/// A fault schedule puts a VM into two replicas, breaks the history of configurations or prevents
+/// recovery; members check fencing numbers.
 #[test]
 fn random_faults_checked_fences_hold() {
-    let astray_ms = run_schedules(FencingMode::Checked, 0..60);
-    assert_eq!(astray_ms, 0);
+    let mismatch_ms = run_schedules(FencingMode::Checked, 0..60);
+    assert_eq!(mismatch_ms, 0);
 }
 
-/// Members that ignore fencing numbers: the same, but for the stated window of a holder that was
-/// paused inside the write of an order.
+/// The same with members that ignore fencing numbers, where a holder paused while sending an order
+/// may cause a bounded mismatch.
 #[test]
 fn random_faults_ignored_fences_hold_but_for_the_window() {
-    let astray_ms = run_schedules(FencingMode::Ignored, 1_000..1_060);
+    let mismatch_ms = run_schedules(FencingMode::Ignored, 1_000..1_060);
     println!(
-        "longest that a member named another replica while its own was serving: {astray_ms} ms"
+        "longest that a member named another replica while its own was serving: {mismatch_ms} ms"
     );
 }
--- a/crates/node/tests/controllers/member.rs
+++ b/crates/node/tests/controllers/member.rs
@@ -6,10 +6,10 @@
     VmName,
 };
 
-/// How old load figures in reports are, in milliseconds.
+/// Age of the load figures in reports, in milliseconds.
 const LOAD_AGE_MS: u64 = 400;
 
-/// An engine: loads, joins, drains, releases; refuses or ignores old fencing numbers.
+/// A fake engine: loads, joins, drains, releases; checks or ignores fencing numbers.
 #[derive(Clone, Debug)]
 pub struct FakeMember {
     pub vm: VmName,
@@ -22,10 +22,10 @@
     pub members: Vec<SocketAddr>,
     pub is_draining: bool,
     pub fence: Fence,
-    /// When each running request ends.
+    /// Completion time of each running request.
     pub running: Vec<TimeMs>,
-    /// Requests that were taken away by an order while they ran.
-    pub cut_off: u32,
+    /// Running requests that an order interrupted.
+    pub interrupted: u32,
     pub orders_refused: u32,
     loaded: Option<(ModelVersion, TimeMs)>,
     last_order: u64,
@@ -46,7 +46,7 @@
             is_draining: false,
             fence: Fence::default(),
             running: Vec::new(),
-            cut_off: 0,
+            interrupted: 0,
             orders_refused: 0,
             loaded: None,
             last_order: 0,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A new process at the same address, with empty memory.
+    /// Restarts the process at the same address with empty memory.
     pub fn restart(&mut self) {
         self.boot = Boot::new(self.boot.get() + 100_000);
         self.alive = true;
@@ -93,15 +93,15 @@
         }
         if self.last_order != order.order_id {
             self.last_order = order.order_id;
-            self.carry_out(now, &order.kind);
+            self.execute(now, &order.kind);
         }
         OrderOutcome::Accepted
     }
 
-    fn carry_out(&mut self, now: TimeMs, kind: &OrderKind) {
+    fn execute(&mut self, now: TimeMs, kind: &OrderKind) {
         match kind {
             OrderKind::Join { replica, generation, members, version, .. } => {
-                self.cut_off += self.running.len() as u32;
+                self.interrupted += self.running.len() as u32;
                 self.running.clear();
                 if self.loaded.as_ref().is_none_or(|(loaded, _)| loaded != version) {
                     self.loaded = Some((version.clone(), now.after(self.load_ms)));
@@ -122,7 +122,7 @@
             OrderKind::Release { replica, boot } => {
                 let is_it = self.formation.as_ref().is_some_and(|f| f.replica == *replica);
                 if is_it && boot.is_none_or(|boot| boot == self.boot) {
-                    self.cut_off += self.running.len() as u32;
+                    self.interrupted += self.running.len() as u32;
                     self.running.clear();
                     self.formation = None;
                     self.loaded = None;
--- a/crates/node/tests/controllers/mod.rs
+++ b/crates/node/tests/controllers/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers, a fake store and fake members in virtual time.
+//! Simulation of controllers with a fake store and fake members in virtual time.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
@@ -10,4 +10,4 @@
 pub use fixtures::{deployment, intent, with_replicas};
 pub use member::FakeMember;
 pub use store::{FakeStore, StoreFault};
-pub use world::{Deed, Hold, Trap, World};
+pub use world::{Pause, Trap, TrapAction, World};
--- a/crates/node/tests/controllers/store.rs
+++ b/crates/node/tests/controllers/store.rs
@@ -3,20 +3,20 @@
 
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 
-/// What befalls a call.
+/// Fault of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It is carried out and its answer lost.
+    /// The call is executed and its reply is lost.
     AnswerLost,
-    /// It is not carried out and gets no answer.
+    /// The call is not executed and gets no reply.
     Down,
-    /// A read shows the object as it was one write earlier.
+    /// A read returns the previous version of the object.
     Stale,
 }
 
-/// Objects with versions.
+/// An in-memory store of versioned objects.
 #[derive(Clone, Debug, Default)]
 pub struct FakeStore {
     version: ObjectVersion,
@@ -24,7 +24,7 @@
     before: BTreeMap<ObjectKey, Option<Object>>,
     pub reads: u64,
     pub writes: u64,
-    /// Every configuration number that was ever written, in order.
+    /// Every configuration that was written, in order.
     pub configs: Vec<Arc<str>>,
 }
 
@@ -45,17 +45,17 @@
         self.objects.remove(&ObjectKey::new(key));
     }
 
-    /// Carries a call out; `None` if it gets no answer.
+    /// Executes a call; `None` if it gets no reply.
     pub fn call(&mut self, request: &StoreRequest, fault: StoreFault) -> Option<StoreReply> {
         if fault == StoreFault::Down {
             return None;
         }
         let is_stale = fault == StoreFault::Stale;
-        let reply = self.carry_out(request, is_stale);
+        let reply = self.execute(request, is_stale);
         (fault != StoreFault::AnswerLost).then_some(reply)
     }
 
-    fn carry_out(&mut self, request: &StoreRequest, is_stale: bool) -> StoreReply {
+    fn execute(&mut self, request: &StoreRequest, is_stale: bool) -> StoreReply {
         match request {
             StoreRequest::Get { key } => {
                 self.reads += 1;
--- a/crates/node/tests/controllers/world.rs
+++ b/crates/node/tests/controllers/world.rs
@@ -22,31 +22,31 @@
 const POLL_TIMEOUT_MS: u64 = 400;
 const STORE_TIMEOUT_MS: u64 = 1_500;
 const UNIX_START_MS: u64 = 1_700_000_000_000;
-/// How long until every entry has a changed placement, in milliseconds.
+/// Delay until every entry has received a changed placement, in milliseconds.
 const SPREAD_MS: u64 = 2_500;
 const LIST_LAG_MS: u64 = 3_000;
 
-/// Where a process stands still.
+/// Where a process is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
-    /// It runs.
+pub enum Pause {
+    /// It is running.
     None,
-    /// Before the driver's last look at the clock: what it decided waits, and what it hears.
+    /// Before the driver checks the deadline of an order: actions and events wait.
     BeforeCheck,
-    /// Inside the writes: orders were checked already and go out late.
+    /// While sending: deadlines have been checked, and orders are sent late.
     InsideWrite,
 }
 
-/// What a paused holder has in hand.
+/// The action after whose decision a holder is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum TrapAction {
     /// An order to a member to join.
     Join,
     /// A write of a placement.
     Placement,
 }
 
-impl Deed {
+impl TrapAction {
     fn is(self, action: &ControllerAction) -> bool {
         match action {
             ControllerAction::Order { order, .. } => {
@@ -60,23 +60,23 @@
     }
 }
 
-/// Stops a node right after it has decided a deed.
+/// Pauses a node right after it has decided on an action.
 #[derive(Clone, Copy, Debug)]
 pub struct Trap {
     pub node: usize,
-    pub deed: Deed,
-    pub hold: Hold,
+    pub action: TrapAction,
+    pub pause: Pause,
     pub clock_stops: bool,
 }
 
-struct Slot {
+struct NodeProcess {
     boot: Boot,
     node: ControllerNode,
-    hold: Hold,
-    held_actions: Vec<ControllerAction>,
-    held_events: Vec<ControllerEvent>,
+    pause: Pause,
+    pending_actions: Vec<ControllerAction>,
+    pending_events: Vec<ControllerEvent>,
     stopped_at: Option<TimeMs>,
-    /// How far its clock is behind, because it stood still in a pause.
+    /// How far its clock is behind because it stopped during pauses, in milliseconds.
     behind_ms: u64,
     clock_stops: bool,
     alive: bool,
@@ -89,39 +89,40 @@
     Order { node: usize, boot: Boot, vm: VmName, order: Order },
 }
 
-/// Everything, on one clock.
+/// A simulated fleet on one virtual clock.
 pub struct World {
     pub now: TimeMs,
     pub store: FakeStore,
-    /// What befalls the next calls; chosen anew for each.
+    /// Returns the fault of each call.
     pub fault: Box<dyn FnMut(&StoreRequest) -> StoreFault>,
-    /// How much longer than others an order is on its way, in milliseconds.
+    /// Returns the additional transit time of an order, in milliseconds.
     pub order_delay: Box<dyn FnMut(&Order) -> u64>,
     pub members: BTreeMap<VmName, FakeMember>,
     pub list: Vec<VmEntry>,
     pub answers: BTreeMap<u64, OperatorReply>,
     /// Whether fake entries send requests to whole replicas.
     pub load: bool,
-    /// Where a node stops next.
+    /// The next pause.
     pub trap: Option<Trap>,
-    /// For how long a VM named another replica than the one it serves in, at most.
-    pub astray_ms_max: u64,
+    /// Longest time for which a VM reported another replica than the serving one that it is placed
+    /// in, in milliseconds.
+    pub mismatch_ms_max: u64,
     pub options: ControllerOptions,
-    nodes: Vec<Slot>,
+    nodes: Vec<NodeProcess>,
     queue: BTreeMap<(TimeMs, u64), Delivery>,
     sequence: u64,
     boots: u64,
     list_history: Vec<(TimeMs, Vec<VmEntry>)>,
-    known_serving: Vec<(TimeMs, Vec<Replica>)>,
-    astray_since: BTreeMap<VmName, TimeMs>,
+    placement_history: Vec<(TimeMs, Vec<Replica>)>,
+    mismatch_since: BTreeMap<VmName, TimeMs>,
     tickets: u64,
     to_confirm: Vec<(u64, usize)>,
-    /// Every formation that ever stood in the store.
+    /// Every formation that was ever stored.
     formations: BTreeSet<(ReplicaName, Generation)>,
 }
 
 impl World {
-    /// `domains` fabric domains, each with `vms` VMs in a data centre of its own.
+    /// Creates `domains` fabric domains, each with `vms` VMs in a data centre of its own.
     pub fn new(controllers: usize, domains: usize, vms: usize, fencing: FencingMode) -> Self {
         let options = ControllerOptions::default().with_store_timeout_ms(STORE_TIMEOUT_MS);
         Self::with_options(controllers, domains, vms, fencing, options)
@@ -174,38 +175,38 @@
             answers: BTreeMap::new(),
             load: false,
             trap: None,
-            astray_ms_max: 0,
+            mismatch_ms_max: 0,
             options,
             nodes: Vec::new(),
             queue: BTreeMap::new(),
             sequence: 0,
             boots: 0,
             list_history: Vec::new(),
-            known_serving: Vec::new(),
-            astray_since: BTreeMap::new(),
+            placement_history: Vec::new(),
+            mismatch_since: BTreeMap::new(),
             tickets: 0,
             to_confirm: Vec::new(),
             formations: BTreeSet::new(),
         };
         for number in 0..controllers {
-            let slot = world.start(number);
-            world.nodes.push(slot);
+            let process = world.start(number);
+            world.nodes.push(process);
         }
         world
     }
 
-    fn start(&mut self, number: usize) -> Slot {
+    fn start(&mut self, number: usize) -> NodeProcess {
         self.boots += 1;
         let me = Incarnation::new(NodeName::new(format!("entry-{number}")), Boot::new(self.boots));
         let domains = self.members.keys().filter_map(|vm| vm.as_str().split('-').nth(1)).max();
         let domains = domains.and_then(|last| last.parse::<usize>().ok()).map_or(1, |n| n + 1);
         let data_centre = DataCentreName::new(format!("dc-{}", number % domains));
-        Slot {
+        NodeProcess {
             boot: me.boot,
             node: ControllerNode::new(me, data_centre, self.options, self.boots * 7_919),
-            hold: Hold::None,
-            held_actions: Vec::new(),
-            held_events: Vec::new(),
+            pause: Pause::None,
+            pending_actions: Vec::new(),
+            pending_events: Vec::new(),
             stopped_at: None,
             behind_ms: 0,
             clock_stops: false,
@@ -213,13 +214,14 @@
         }
     }
 
-    /// Which start of a process: a restarted one must not get its predecessor's answers.
+    /// Returns the boot of a process; a restarted process must not receive its predecessor's
+    /// replies.
     fn boot(&self, node: usize) -> Boot {
         self.nodes[node].boot
     }
 }
 
-/// What tests do.
+/// Operations of tests.
 impl World {
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].alive = false;
@@ -230,31 +232,31 @@
     }
 
     pub fn leave(&mut self, node: usize) {
-        self.hear(node, ControllerEvent::Leave);
+        self.deliver_event(node, ControllerEvent::Leave);
     }
 
-    pub fn hold(&mut self, node: usize, hold: Hold, clock_stops: bool) {
+    pub fn pause(&mut self, node: usize, pause: Pause, clock_stops: bool) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
-        slot.hold = hold;
-        slot.stopped_at = Some(now);
-        slot.clock_stops = clock_stops;
+        let process = &mut self.nodes[node];
+        process.pause = pause;
+        process.stopped_at = Some(now);
+        process.clock_stops = clock_stops;
     }
 
     pub fn resume(&mut self, node: usize) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
-        let hold = std::mem::replace(&mut slot.hold, Hold::None);
-        if let Some(at) = slot.stopped_at.take().filter(|_| slot.clock_stops) {
-            slot.behind_ms += now.since(at);
+        let process = &mut self.nodes[node];
+        let pause = std::mem::replace(&mut process.pause, Pause::None);
+        if let Some(at) = process.stopped_at.take().filter(|_| process.clock_stops) {
+            process.behind_ms += now.since(at);
         }
-        let actions = std::mem::take(&mut slot.held_actions);
-        let events = std::mem::take(&mut slot.held_events);
+        let actions = std::mem::take(&mut process.pending_actions);
+        let events = std::mem::take(&mut process.pending_events);
         for action in actions {
-            self.carry_out(node, action, hold == Hold::InsideWrite);
+            self.execute(node, action, pause == Pause::InsideWrite);
         }
         for event in events {
-            self.hear(node, event);
+            self.deliver_event(node, event);
         }
     }
 
@@ -266,7 +268,7 @@
             request,
             at_unix_ms: UNIX_START_MS + self.now.get(),
         };
-        self.hear(node, event);
+        self.deliver_event(node, event);
         self.tickets
     }
 
@@ -289,7 +291,7 @@
         self.wait_for(ticket)
     }
 
-    /// Asks for a plan and confirms it as soon as it comes, without waiting for either.
+    /// Requests a plan and confirms it when it arrives, without waiting.
     pub fn ask_and_confirm(&mut self, node: usize, request: OperatorRequest) {
         let ticket = self.ask(node, "anna", request);
         self.to_confirm.push((ticket, node));
@@ -308,7 +310,7 @@
         }
     }
 
-    /// Plans and confirms; the record of the change.
+    /// Plans and confirms a change; returns its record.
     pub fn declare(&mut self, node: usize, intent: &Intent) -> ChangeRecord {
         let plan = self.plan(node, intent);
         match self.confirm(node, "anna", &plan) {
@@ -323,7 +325,7 @@
     }
 }
 
-/// What tests look at.
+/// Queries of tests.
 impl World {
     pub fn config(&self) -> Option<Config> {
         self.store.get("config/current").map(|o| serde_json::from_str(&o.value).expect("valid"))
@@ -338,7 +340,7 @@
         self.placements().into_iter().flat_map(|placement| placement.replicas).collect()
     }
 
-    /// Whether the placement lets it serve and its members, by themselves, are one formation.
+    /// Whether the replica is serving by the placement and its members report one formation.
     pub fn is_whole(&self, replica: &Replica) -> bool {
         let members = || replica.vms.iter().map(|vm| &self.members[vm]);
         let boots: Vec<Boot> = members().map(|member| member.boot).collect();
@@ -349,8 +351,8 @@
             })
     }
 
-    pub fn is_held(&self, node: usize) -> bool {
-        self.nodes[node].hold != Hold::None
+    pub fn is_paused(&self, node: usize) -> bool {
+        self.nodes[node].pause != Pause::None
     }
 
     pub fn is_alive(&self, node: usize) -> bool {
@@ -361,13 +363,18 @@
         self.nodes.len()
     }
 
-    /// Accepted configurations follow one another without a gap, and each has its audit record.
+    /// Checks that accepted configurations are numbered without gaps and that each has its audit
+    /// record.
     pub fn check_history(&self) {
         let configs = self.store.configs.iter();
         let configs: Vec<Config> =
             configs.map(|text| serde_json::from_str(text).expect("valid")).collect();
         for (at, config) in configs.iter().enumerate() {
-            assert_eq!(config.number.get(), at as u64 + 1, "a number is missing or comes twice");
+            assert_eq!(
+                config.number.get(),
+                at as u64 + 1,
+                "a configuration number is missing or duplicated"
+            );
             assert_eq!(config.change.number, config.number);
             assert_eq!(config.change.from_number.get(), at as u64);
         }
@@ -383,14 +390,14 @@
     }
 
     pub fn holder_of(&self, domain: &str) -> Option<usize> {
-        self.nodes.iter().position(|slot| {
-            let held = slot.node.held_domains(self.now);
-            slot.alive && held.iter().any(|(name, _)| name.as_str() == domain)
+        self.nodes.iter().position(|process| {
+            let held = process.node.held_domains(self.now);
+            process.alive && held.iter().any(|(name, _)| name.as_str() == domain)
         })
     }
 
-    pub fn cut_off(&self) -> u32 {
-        self.members.values().map(|member| member.cut_off).sum()
+    pub fn interrupted(&self) -> u32 {
+        self.members.values().map(|member| member.interrupted).sum()
     }
 
     pub fn running(&self) -> usize {
@@ -398,7 +405,7 @@
     }
 }
 
-/// Time.
+/// Virtual time.
 impl World {
     pub fn run_ms(&mut self, span_ms: u64) {
         let until = self.now.after(span_ms);
@@ -407,13 +414,13 @@
         }
     }
 
-    pub fn run_until(&mut self, what: &str, mut is_so: impl FnMut(&Self) -> bool) -> u64 {
+    pub fn run_until(&mut self, what: &str, mut condition: impl FnMut(&Self) -> bool) -> u64 {
         let from = self.now;
-        while !is_so(self) {
+        while !condition(self) {
             self.step();
             assert!(
                 self.now.since(from) < 600_000,
-                "never: {what}; placements {:#?}",
+                "timed out waiting for: {what}; placements {:#?}",
                 self.placements()
             );
         }
@@ -432,12 +439,14 @@
         self.list_history.retain(|(at, _)| until.since(*at) <= 2 * LIST_LAG_MS);
         let now = self.now;
         self.members.values_mut().for_each(|member| member.tick(now));
-        self.join();
+        self.complete_formations();
         for node in 0..self.nodes.len() {
-            let slot = &self.nodes[node];
-            let local = self.local(node);
-            if slot.hold == Hold::None && slot.node.next_wake().is_some_and(|at| at <= local) {
-                self.hear(node, ControllerEvent::Tick);
+            let process = &self.nodes[node];
+            let local_now = self.local_now(node);
+            if process.pause == Pause::None
+                && process.node.next_wake().is_some_and(|at| at <= local_now)
+            {
+                self.deliver_event(node, ControllerEvent::Tick);
             }
         }
         self.confirm_answered();
@@ -445,52 +454,52 @@
         self.check();
     }
 
-    fn local(&self, node: usize) -> TimeMs {
+    fn local_now(&self, node: usize) -> TimeMs {
         TimeMs::new(self.now.get() - self.nodes[node].behind_ms)
     }
 
-    fn later(&mut self, after_ms: u64, delivery: Delivery) {
+    fn schedule(&mut self, after_ms: u64, delivery: Delivery) {
         self.sequence += 1;
         self.queue.insert((self.now.after(after_ms), self.sequence), delivery);
     }
 
     fn event(&mut self, node: usize, after_ms: u64, event: ControllerEvent) {
         let boot = self.boot(node);
-        self.later(after_ms, Delivery::Event { node, boot, event });
+        self.schedule(after_ms, Delivery::Event { node, boot, event });
     }
 
-    fn hear(&mut self, node: usize, event: ControllerEvent) {
-        let local = self.local(node);
-        let slot = &mut self.nodes[node];
-        if !slot.alive {
+    fn deliver_event(&mut self, node: usize, event: ControllerEvent) {
+        let local_now = self.local_now(node);
+        let process = &mut self.nodes[node];
+        if !process.alive {
             return;
         }
-        if slot.hold != Hold::None {
-            slot.held_events.push(event);
+        if process.pause != Pause::None {
+            process.pending_events.push(event);
             return;
         }
         let mut actions = Vec::new();
-        slot.node.handle(local, event, &mut actions);
+        process.node.handle(local_now, event, &mut actions);
         let trap = self.trap.filter(|trap| trap.node == node);
-        if let Some(trap) = trap.filter(|trap| actions.iter().any(|a| trap.deed.is(a))) {
+        if let Some(trap) = trap.filter(|trap| actions.iter().any(|a| trap.action.is(a))) {
             self.trap = None;
-            self.nodes[node].held_actions = actions;
-            self.hold(node, trap.hold, trap.clock_stops);
+            self.nodes[node].pending_actions = actions;
+            self.pause(node, trap.pause, trap.clock_stops);
             return;
         }
         for action in actions {
-            self.carry_out(node, action, false);
+            self.execute(node, action, false);
         }
     }
 
-    fn carry_out(&mut self, node: usize, action: ControllerAction, is_checked: bool) {
+    fn execute(&mut self, node: usize, action: ControllerAction, is_checked: bool) {
         if !self.nodes[node].alive {
             return;
         }
         let boot = self.boot(node);
         match action {
             ControllerAction::Store { call, request } => {
-                self.later(STORE_MS, Delivery::Store { node, boot, call, request });
+                self.schedule(STORE_MS, Delivery::Store { node, boot, call, request });
             }
             ControllerAction::ReadVmList => {
                 let now = self.now;
@@ -501,15 +510,15 @@
             }
             ControllerAction::Poll { vm, .. } => {
                 let sent_at = self.now;
-                self.later(LINK_MS, Delivery::Poll { node, boot, vm, sent_at });
+                self.schedule(LINK_MS, Delivery::Poll { node, boot, vm, sent_at });
             }
             ControllerAction::Order { vm, order, send_before, .. } => {
-                if !is_checked && self.local(node) >= send_before {
+                if !is_checked && self.local_now(node) >= send_before {
                     let (order_id, outcome) = (order.order_id, OrderOutcome::NotSent);
                     self.event(node, 0, ControllerEvent::Ordered { vm, order_id, outcome });
                 } else {
                     let delay_ms = LINK_MS + (self.order_delay)(&order);
-                    self.later(delay_ms, Delivery::Order { node, boot, vm, order });
+                    self.schedule(delay_ms, Delivery::Order { node, boot, vm, order });
                 }
             }
             ControllerAction::Answer { ticket, reply } => {
@@ -523,7 +532,7 @@
         match delivery {
             Delivery::Event { node, boot, event } => {
                 if self.boot(node) == boot {
-                    self.hear(node, event);
+                    self.deliver_event(node, event);
                 }
             }
             Delivery::Store { node, boot, call, request } => {
@@ -533,7 +542,7 @@
                     None => (STORE_TIMEOUT_MS, StoreReply::Unknown),
                 };
                 let event = ControllerEvent::Store { call, reply };
-                self.later(after_ms, Delivery::Event { node, boot, event });
+                self.schedule(after_ms, Delivery::Event { node, boot, event });
             }
             Delivery::Poll { node, boot, vm, sent_at } => {
                 let report: Option<MemberReport> =
@@ -542,20 +551,20 @@
                 let outcome = report.map_or(PollOutcome::Failed, PollOutcome::Reported);
                 let took_ms = self.now.since(sent_at) + after_ms;
                 let event = ControllerEvent::Polled { vm, took_ms, outcome };
-                self.later(after_ms, Delivery::Event { node, boot, event });
+                self.schedule(after_ms, Delivery::Event { node, boot, event });
             }
             Delivery::Order { node, boot, vm, order } => {
                 let now = self.now;
                 let member = self.members.get_mut(&vm).filter(|member| member.alive);
                 let outcome = member.map_or(OrderOutcome::Unknown, |m| m.order(now, &order));
                 let event = ControllerEvent::Ordered { vm, order_id: order.order_id, outcome };
-                self.later(LINK_MS, Delivery::Event { node, boot, event });
+                self.schedule(LINK_MS, Delivery::Event { node, boot, event });
             }
         }
     }
 
-    /// Members that were told to join one another and have loaded meet.
-    fn join(&mut self) {
+    /// Completes formations whose members have all loaded.
+    fn complete_formations(&mut self) {
         let now = self.now;
         let by_address: BTreeMap<SocketAddr, VmName> =
             self.members.values().map(|m| (m.address, m.vm.clone())).collect();
@@ -587,22 +596,23 @@
         }
     }
 
-    /// Entries that learn of placements late send each whole replica a request now and then.
+    /// Sends each whole replica a request periodically, by a placement that is received with a
+    /// delay.
     fn send_load(&mut self) {
         let replicas = self.replicas();
-        self.known_serving.push((self.now, replicas));
+        self.placement_history.push((self.now, replicas));
         let now = self.now;
-        self.known_serving.retain(|(at, _)| now.since(*at) <= SPREAD_MS + STEP_MS);
+        self.placement_history.retain(|(at, _)| now.since(*at) <= SPREAD_MS + STEP_MS);
         if !self.load || !now.get().is_multiple_of(250) {
             return;
         }
-        let Some((_, known)) = self.known_serving.first().cloned() else { return };
+        let Some((_, known)) = self.placement_history.first().cloned() else { return };
         for replica in known {
             if !self.is_whole_by_members(&replica) {
                 continue;
             }
             let member = self.members.get_mut(&replica.vms[0]).expect("known");
-            // An engine that drains refuses; the entry sends it elsewhere.
+            // A draining engine refuses the request, and the entry sends it elsewhere.
             if !member.is_draining && member.running.len() < 8 {
                 let length_ms = 1_000 + (now.get() * 7_919) % 9_000;
                 member.running.push(now.after(length_ms));
@@ -615,7 +625,7 @@
         replica.phase == ReplicaPhase::Serving && self.is_whole(&serving)
     }
 
-    /// A member is only ever told to join what stands in the store, or stood there.
+    /// Checks that members join only formations that were stored.
     fn check_formations(&mut self) {
         let formations = self.replicas().into_iter().map(|r| (r.name, r.generation));
         self.formations.extend(formations);
@@ -623,11 +633,14 @@
             let Some(formation) = &member.formation else { continue };
             let joined = (formation.replica.clone(), formation.generation);
             let vm = &member.vm;
-            assert!(self.formations.contains(&joined), "{vm} joined {joined:?}, never placed");
+            assert!(
+                self.formations.contains(&joined),
+                "{vm} joined {joined:?}, which was never stored"
+            );
         }
     }
 
-    /// What must hold in each step.
+    /// Checks the invariants.
     fn check(&mut self) {
         let mut seen = BTreeMap::new();
         for placement in self.placements() {
@@ -640,19 +653,19 @@
             }
         }
         self.check_formations();
-        let mut astray = Vec::new();
+        let mut mismatched = Vec::new();
         for replica in self.replicas().iter().filter(|r| r.phase == ReplicaPhase::Serving) {
             for vm in &replica.vms {
                 let formation = self.members[vm].formation.as_ref();
                 if formation.is_some_and(|f| f.replica != replica.name) {
-                    astray.push(vm.clone());
+                    mismatched.push(vm.clone());
                 }
             }
         }
-        self.astray_since.retain(|vm, _| astray.contains(vm));
-        for vm in astray {
-            let since = *self.astray_since.entry(vm).or_insert(self.now);
-            self.astray_ms_max = self.astray_ms_max.max(self.now.since(since));
+        self.mismatch_since.retain(|vm, _| mismatched.contains(vm));
+        for vm in mismatched {
+            let since = *self.mismatch_since.entry(vm).or_insert(self.now);
+            self.mismatch_ms_max = self.mismatch_ms_max.max(self.now.since(since));
         }
     }
 }
