--- a/crates/node/src/entry/serving/keys.rs
+++ b/crates/node/src/entry/serving/keys.rs
@@ -1,4 +1,4 @@
-use celeryhaven_once::{OnceAction, Presentation};
+use celeryhaven_once::{KeyedRequest, OnceAction};
 use celeryhaven_policy::{RequestPolicy, Ticket};
 use celeryhaven_types::{Incarnation, Refusal, RefusalCode, TimeMs};
 
@@ -22,16 +22,16 @@
     ) {
         let Some(request) = self.requests.get_mut(ticket) else { return };
         request.keyed = true;
-        let presentation = Presentation {
+        let keyed = KeyedRequest {
             ticket,
             organisation: &request.head.organisation,
             key,
             fingerprint: fingerprint(&request.head),
             deadline_at: request.deadline_at,
-            passed_on,
+            delegated: passed_on,
         };
         let mut actions = Vec::new();
-        self.once.present(now, presentation, &mut actions);
+        self.once.present(now, keyed, &mut actions);
         self.apply_once(now, actions, out);
     }
 
@@ -45,7 +45,7 @@
         for action in actions {
             match action {
                 OnceAction::Run { ticket } => self.admit(now, ticket, out),
-                OnceAction::PassOn { ticket, to } => self.pass_on(ticket, to, out),
+                OnceAction::Delegate { ticket, to } => self.pass_on(ticket, to, out),
                 OnceAction::Refuse { ticket, refusal } => {
                     if self.requests.remove(ticket).is_some() {
                         out.push(EntryAction::Refuse { ticket, refusal });
@@ -56,7 +56,7 @@
                         out.push(EntryAction::Replay { ticket, of });
                     }
                 }
-                OnceAction::Forget { ticket } => out.push(EntryAction::Forget { ticket }),
+                OnceAction::DropAnswer { ticket } => out.push(EntryAction::Forget { ticket }),
                 OnceAction::Store { call: once_call, request } => {
                     let call = self.next_call();
                     self.once_calls.insert(call, once_call);
@@ -106,7 +106,7 @@
     ) {
         if request.keyed {
             let mut actions = Vec::new();
-            self.once.answered(now, ticket, &mut actions);
+            self.once.record_answer(now, ticket, &mut actions);
             self.apply_once(now, actions, out);
         }
     }
@@ -123,11 +123,11 @@
             return;
         }
         match request.stage {
-            Stage::Keyed => self.once.gone(ticket),
+            Stage::Keyed => self.once.withdraw(ticket),
             Stage::PassedOn => {}
             Stage::Admitted => {
                 let mut actions = Vec::new();
-                self.once.refused(ticket, refusal, &mut actions);
+                self.once.record_refusal(ticket, refusal, &mut actions);
                 self.apply_once(now, actions, out);
             }
         }
--- a/crates/node/src/entry/watching.rs
+++ b/crates/node/src/entry/watching.rs
@@ -30,7 +30,7 @@
     ) {
         if let Some(once_call) = self.once_calls.remove(&call) {
             let mut actions = Vec::new();
-            self.once.store_reply(now, once_call, reply, &mut actions);
+            self.once.apply_store_reply(now, once_call, reply, &mut actions);
             return self.apply_once(now, actions, out);
         }
         self.spread_reply(now, call, reply, out);
@@ -71,7 +71,7 @@
             true => config.intent.organisations.iter().map(|known| known.name.clone()).collect(),
             false => Vec::new(),
         };
-        self.once.set_sweeping(&organisations);
+        self.once.set_swept_organisations(&organisations);
         self.observe_due_at = now;
         self.observe(now, out);
         self.announce_all(now, out);
--- a/crates/once/src/claims/claim.rs
+++ b/crates/once/src/claims/claim.rs
@@ -5,7 +5,7 @@
 use celeryhaven_types::{Incarnation, OrganisationName};
 use sha2::{Digest, Sha256};
 
-/// Where claims stand in the Object API.
+/// Key prefix of claim objects.
 pub(crate) const CLAIM_PREFIX: &str = "once/";
 
 data! {
@@ -13,15 +13,15 @@
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct Claim {
-        /// Who alone may run the key.
+        /// The only incarnation that may run the key.
         pub owner: Incarnation,
-        /// Which of the owner's claims it is, to find out whether a create without an answer took
-        /// effect.
+        /// Identifies the claim among those of its owner, to detect whether a create whose reply
+        /// was lost took effect.
         pub claim_id: u64,
     }
 }
 
-/// The object that a caller's own key is claimed by.
+/// Returns the key of the claim object of a caller-chosen key.
 pub(crate) fn claim_key(organisation: &OrganisationName, key: &str) -> ObjectKey {
     let digest = Sha256::digest(key.as_bytes());
     let mut name = format!("{CLAIM_PREFIX}{organisation}/");
--- a/crates/once/src/claims/mod.rs
+++ b/crates/once/src/claims/mod.rs
@@ -1,16 +1,16 @@
-//! Claim objects for keys that callers made up.
+//! Claim objects for caller-chosen keys.
 //!
-//! A claim `once/<organisation>/<SHA-256 of the key>` is created once and names the incarnation
-//! that alone may run the key. It is never taken over: when its owner is gone, the key may have run.
+//! A claim `once/<organisation>/<SHA-256 of the key>` is created once and names the only incarnation
+//! that may run the key. It never changes owner: if the owner is unreachable, the key may have run.
 
-mod bucket;
 mod claim;
 mod outcome;
+mod rate_limit;
 mod sweep;
 mod table;
 
 pub use claim::Claim;
 pub(crate) use claim::claim_key;
-pub(crate) use outcome::{ClaimOutcome, Settled, Started};
+pub(crate) use outcome::{ClaimOutcome, ClaimStart, ResolvedClaim};
 pub(crate) use sweep::Sweep;
 pub(crate) use table::Claims;
--- a/crates/once/src/claims/outcome.rs
+++ b/crates/once/src/claims/outcome.rs
@@ -1,31 +1,31 @@
 use celeryhaven_types::Incarnation;
 use celeryhaven_types::store::ObjectKey;
 
-/// What a claim came to.
+/// Owner of a claimed key.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ClaimOutcome {
-    /// This incarnation alone may run the key.
+    /// This incarnation owns the key.
     Owned,
-    /// That one alone may run it.
+    /// Another incarnation owns the key.
     Foreign(Incarnation),
-    /// Nobody here can tell whether it ran.
+    /// The key may have run, and its outcome is not recorded.
     Spent,
 }
 
-/// What the presentation of a caller's own key started.
+/// Result of starting a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Started {
-    /// The owner is known.
-    Known(ClaimOutcome),
-    /// The owner is being found out.
+pub(crate) enum ClaimStart {
+    /// The owner is already known.
+    Resolved(ClaimOutcome),
+    /// Calls to the Object API that determine the owner are in progress.
     Pending,
-    /// The limit of claims a second or of claims held is reached.
-    TooMany,
+    /// The limit of claims per second or of recorded claims is reached.
+    LimitReached,
 }
 
-/// A claim whose owner became known, with the requests that waited for that.
+/// A claim whose owner has been determined, with the requests that waited for it.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Settled<T> {
+pub(crate) struct ResolvedClaim<T> {
     pub(crate) key: ObjectKey,
     pub(crate) waiting: Vec<T>,
     pub(crate) outcome: ClaimOutcome,
--- a/crates/once/src/claims/sweep.rs
+++ b/crates/once/src/claims/sweep.rs
@@ -6,16 +6,16 @@
 use crate::claims::claim::CLAIM_PREFIX;
 use crate::guard::OnceCall;
 
-/// Lists of one shard that are remembered at most.
+/// Maximum number of recorded list versions per shard.
 const CHECKPOINTS_MAX: usize = 8;
-/// Claims deleted after one list at most; the rest follow with the next.
+/// Maximum number of claims deleted after one list; later lists cover the rest.
 const DELETES_MAX: usize = 32;
 
-/// Deletes claims whose owners are gone, for whichever one node is told to.
+/// Deletes claims that their owners left behind, on the node that is assigned this task.
 ///
-/// It judges age by its own elapsed time alone: a claim whose version is not newer than that of a
-/// list made `orphan_life_ms` ago is at least that old, whatever any clock says. Claims are listed
-/// by organisation and first digit, so no list grows past what one call may return.
+/// Age is measured by local elapsed time: a claim whose version is not newer than that of a list
+/// made `orphan_life_ms` ago is at least that old. Claims are listed by organisation and first hex
+/// digit, to keep each list within the limit of one call.
 #[derive(Clone, Debug)]
 pub(crate) struct Sweep {
     interval_ms: u64,
@@ -24,7 +24,7 @@
     next_shard: usize,
     next_at: TimeMs,
     listing: Option<(OnceCall, ObjectKey)>,
-    seen: BTreeMap<ObjectKey, VecDeque<(TimeMs, ObjectVersion)>>,
+    checkpoints: BTreeMap<ObjectKey, VecDeque<(TimeMs, ObjectVersion)>>,
 }
 
 impl Sweep {
@@ -36,11 +36,11 @@
             next_shard: 0,
             next_at: TimeMs::new(0),
             listing: None,
-            seen: BTreeMap::new(),
+            checkpoints: BTreeMap::new(),
         }
     }
 
-    /// Sweeps the claims of these organisations from now on; none stops it.
+    /// Sets the organisations whose claims are swept; an empty list stops the sweep.
     pub(crate) fn set_organisations(&mut self, organisations: &[OrganisationName]) {
         let digits = || (0..16_u8).map(|digit| format!("{digit:x}"));
         let shards = organisations.iter().flat_map(|organisation| {
@@ -49,15 +49,15 @@
         });
         self.shards = shards.collect();
         let shards = &self.shards;
-        self.seen.retain(|shard, _| shards.contains(shard));
+        self.checkpoints.retain(|shard, _| shards.contains(shard));
     }
 
     pub(crate) fn next_wake(&self) -> Option<TimeMs> {
         (!self.shards.is_empty()).then_some(self.next_at)
     }
 
-    /// The list that is due, to be made as the call that `next_call` names.
-    pub(crate) fn due(
+    /// Returns the list request that is due, as the call that `next_call` numbers.
+    pub(crate) fn next_list(
         &mut self,
         now: TimeMs,
         next_call: impl FnOnce() -> OnceCall,
@@ -73,7 +73,7 @@
         Some((call, StoreRequest::List { prefix }))
     }
 
-    /// Takes the reply to a list; gives the claims to be deleted, at the versions they were seen.
+    /// Applies the reply to a list; returns the claims to delete, at their listed versions.
     pub(crate) fn reply(
         &mut self,
         now: TimeMs,
@@ -85,17 +85,17 @@
         };
         let StoreReply::Listed { version, objects } = reply else { return Vec::new() };
         let life_ms = self.orphan_life_ms;
-        let seen = self.seen.entry(shard).or_default();
-        let old = seen.iter().filter(|(at, _)| now.since(*at) >= life_ms);
-        let oldest_kept = old.map(|(_, version)| *version).max();
+        let checkpoints = self.checkpoints.entry(shard).or_default();
+        let old = checkpoints.iter().filter(|(at, _)| now.since(*at) >= life_ms);
+        let cutoff = old.map(|(_, version)| *version).max();
         let spacing_ms = life_ms / (CHECKPOINTS_MAX as u64 - 2);
-        if seen.back().is_none_or(|(at, _)| now.since(*at) >= spacing_ms) {
-            seen.push_back((now, *version));
+        if checkpoints.back().is_none_or(|(at, _)| now.since(*at) >= spacing_ms) {
+            checkpoints.push_back((now, *version));
         }
-        if seen.len() > CHECKPOINTS_MAX {
-            seen.pop_front();
+        if checkpoints.len() > CHECKPOINTS_MAX {
+            checkpoints.pop_front();
         }
-        let is_old = |object: &&Object| oldest_kept.is_some_and(|kept| object.version <= kept);
+        let is_old = |object: &&Object| cutoff.is_some_and(|cutoff| object.version <= cutoff);
         let orphans = objects.iter().filter(is_old).take(DELETES_MAX);
         orphans.map(|object| (object.key.clone(), object.version)).collect()
     }
--- a/crates/once/src/guard/action.rs
+++ b/crates/once/src/guard/action.rs
@@ -3,49 +3,49 @@
 use celeryhaven_types::{Incarnation, Refusal};
 
 number! {
-    /// Matches a reply of the Object API to the guard's call.
+    /// Number that matches a reply of the Object API to the guard's call.
     OnceCall(u64)
 }
 
 state! {
-    /// What the guard wants done; `T` names requests.
+    /// Action for the embedding program to execute; `T` identifies requests.
     pub enum OnceAction<T> {
-        /// Run the request; its end must be told to the guard.
+        /// Run the request; its completion must be reported to the guard.
         Run {
-            /// Which.
+            /// Request to run.
             ticket: T,
         },
-        /// Pass the request on to the incarnation that alone may run its key.
-        PassOn {
-            /// Which.
+        /// Delegate the request to the incarnation that owns its key.
+        Delegate {
+            /// Request to delegate.
             ticket: T,
-            /// To whom.
+            /// Owner of the key.
             to: Incarnation,
         },
-        /// Give the request this final answer.
+        /// Refuse the request.
         Refuse {
-            /// Which.
+            /// Request to refuse.
             ticket: T,
-            /// The answer.
+            /// Refusal to send to the caller.
             refusal: Refusal,
         },
-        /// Give the request the kept answer of another one.
+        /// Answer the request with the cached answer of another one.
         Replay {
-            /// Which.
+            /// Request to answer.
             ticket: T,
-            /// Whose answer.
+            /// Request whose answer is replayed.
             of: T,
         },
-        /// The answer of this request need not be kept any more.
-        Forget {
-            /// Whose.
+        /// Drop the cached answer of a request.
+        DropAnswer {
+            /// Request whose answer is dropped.
             ticket: T,
         },
         /// Call the Object API.
         Store {
-            /// Matches the reply.
+            /// Number that matches the reply.
             call: OnceCall,
-            /// The call.
+            /// Request to the Object API.
             request: StoreRequest,
         },
     }
--- a/crates/once/src/guard/mod.rs
+++ b/crates/once/src/guard/mod.rs
@@ -1,12 +1,12 @@
-//! The whole guard behind one call for each event.
+//! At-most-once guard with one method per event.
 
 mod action;
+mod keyed_request;
 mod once;
-mod presentation;
-mod presenting;
+mod present;
 mod settings;
 
 pub use action::{OnceAction, OnceCall};
+pub use keyed_request::KeyedRequest;
 pub use once::Once;
-pub use presentation::Presentation;
 pub use settings::OnceSettings;
--- a/crates/once/src/guard/once.rs
+++ b/crates/once/src/guard/once.rs
@@ -4,20 +4,20 @@
 use celeryhaven_types::{Incarnation, OrganisationName, Refusal, RefusalCode, TimeMs};
 
 use crate::claims::{Claims, Sweep};
-use crate::guard::{OnceAction, OnceCall, OnceSettings, Presentation};
+use crate::guard::{KeyedRequest, OnceAction, OnceCall, OnceSettings};
 use crate::key::{KeyIssuer, RequestKey};
 use crate::ledger::Ledger;
 
-/// When to ask again after a claim could not be made.
+/// Retry delay sent to callers while a key cannot be claimed or recorded, in milliseconds.
 pub(super) const CLAIM_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Runs each keyed request at most once, across nodes.
 ///
-/// A refusal says "not run" only if this process alone may run the key and has not: the ledger then
-/// knows of every earlier try. Wherever the owner cannot be asked, an earlier try may have run
-/// there, so the refusal says "may have run"; trying again with the same key is always safe.
+/// A refusal says "not run" only if no earlier attempt with the key can have run. If the owner of the
+/// key cannot be determined or reached, an earlier attempt may have run there, and the refusal says
+/// "may have run". A retry with the same key is always safe.
 ///
-/// Generic over the ticket `T` that names a request, so that it can be embedded anywhere.
+/// `T` is the ticket that identifies a request.
 #[derive(Clone, Debug)]
 pub struct Once<T> {
     pub(super) incarnation: Incarnation,
@@ -33,10 +33,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum KeyId {
     Issued(u64),
-    Own(ObjectKey),
+    CallerChosen(ObjectKey),
 }
 
-/// A request that waits for its claim, or for another one with the same key.
+/// A request that waits for its claim, or for another request with the same key.
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
     pub(super) claim: Option<ObjectKey>,
@@ -47,7 +47,7 @@
 }
 
 impl<T: Copy + Ord> Once<T> {
-    /// A guard that knows nothing yet; `seed` must be unpredictable where callers are not trusted.
+    /// Creates an empty guard; `seed` must be unpredictable where callers are not trusted.
     pub fn new(incarnation: Incarnation, settings: OnceSettings, seed: [u8; 32]) -> Self {
         let life_ms = settings.key_life_ms;
         let issuer = KeyIssuer::new(incarnation.clone(), seed, settings.keys_max, life_ms);
@@ -79,39 +79,39 @@
         self.issuer.issue(now, organisation, count)
     }
 
-    /// Lifetime of an issued key.
+    /// Returns the lifetime of an issued key, in milliseconds.
     pub const fn key_life_ms(&self) -> u64 {
         self.settings.key_life_ms
     }
 
-    /// A request came with a key.
+    /// Processes a request that carries a key.
     pub fn present(
         &mut self,
         now: TimeMs,
-        presentation: Presentation<'_, T>,
+        request: KeyedRequest<'_, T>,
         out: &mut Vec<OnceAction<T>>,
     ) {
         self.drop_expired(now, out);
-        if RequestKey::is_claimed_by(presentation.key) {
-            self.present_issued(now, &presentation, out);
+        if RequestKey::has_issued_prefix(request.key) {
+            self.present_issued(now, &request, out);
         } else {
-            self.present_own(now, &presentation, out);
+            self.present_caller_key(now, &request, out);
         }
     }
 
-    /// The running request was answered whole, and the answer is kept.
-    pub fn answered(&mut self, now: TimeMs, ticket: T, out: &mut Vec<OnceAction<T>>) {
-        for waiter in self.ledger.answered(now, ticket) {
+    /// Records that the running request was answered completely and that its answer is cached.
+    pub fn record_answer(&mut self, now: TimeMs, ticket: T, out: &mut Vec<OnceAction<T>>) {
+        for waiter in self.ledger.record_answer(now, ticket) {
             self.stop_waiting(waiter);
             out.push(OnceAction::Replay { ticket: waiter, of: ticket });
         }
     }
 
-    /// The running request got this refusal, or its caller went before it ran.
-    pub fn refused(&mut self, ticket: T, refusal: Refusal, out: &mut Vec<OnceAction<T>>) {
-        let own_reason =
+    /// Records that the running request was refused, or that its caller disconnected before it ran.
+    pub fn record_refusal(&mut self, ticket: T, refusal: Refusal, out: &mut Vec<OnceAction<T>>) {
+        let caller_specific =
             matches!(refusal.code, RefusalCode::DeadlineUnreachable | RefusalCode::CallerGone);
-        let released = self.ledger.refused(ticket, refusal.verdict, own_reason);
+        let released = self.ledger.record_refusal(ticket, refusal.verdict, caller_specific);
         if let Some(next) = released.promoted {
             self.stop_waiting(next);
             out.push(OnceAction::Run { ticket: next });
@@ -122,8 +122,8 @@
         }
     }
 
-    /// The caller of a request that waits has gone.
-    pub fn gone(&mut self, ticket: T) {
+    /// Removes a waiting request whose caller disconnected.
+    pub fn withdraw(&mut self, ticket: T) {
         let claim = self.waiting.get(&ticket).and_then(|waiting| waiting.claim.clone());
         if let Some(key) = claim {
             self.claims.withdraw(&key, ticket);
@@ -132,8 +132,8 @@
         self.stop_waiting(ticket);
     }
 
-    /// A call to the Object API ended.
-    pub fn store_reply(
+    /// Applies the reply to a call to the Object API.
+    pub fn apply_store_reply(
         &mut self,
         now: TimeMs,
         call: OnceCall,
@@ -141,34 +141,34 @@
         out: &mut Vec<OnceAction<T>>,
     ) {
         let mut calls = Vec::new();
-        let settled = self.claims.reply(now, call, reply, &mut calls);
+        let resolved = self.claims.reply(now, call, reply, &mut calls);
         for (key, version) in self.sweep.reply(now, call, reply) {
             let call = self.claims.next_call();
             calls.push((call, StoreRequest::Delete { key, version }));
         }
         push_calls(calls, out);
-        if let Some(settled) = settled {
-            self.settled(settled, out);
+        if let Some(resolved) = resolved {
+            self.apply_resolved_claim(resolved, out);
         }
     }
 
-    /// Time has passed.
+    /// Processes timers that are due.
     pub fn tick(&mut self, now: TimeMs, out: &mut Vec<OnceAction<T>>) {
         self.drop_expired(now, out);
         let mut calls = Vec::new();
         self.claims.retry(now, &mut calls);
         let ledger = &self.ledger;
-        let in_use = |key: &ObjectKey| ledger.contains(&KeyId::Own(key.clone()));
+        let in_use = |key: &ObjectKey| ledger.contains(&KeyId::CallerChosen(key.clone()));
         self.claims.expire(now, in_use, &mut calls);
-        calls.extend(self.sweep.due(now, || self.claims.next_call()));
+        calls.extend(self.sweep.next_list(now, || self.claims.next_call()));
         push_calls(calls, out);
         while self.deadlines.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, ticket)) = self.deadlines.pop_first() else { break };
-            self.waited_too_long(ticket, out);
+            self.time_out(ticket, out);
         }
     }
 
-    /// When [`Once::tick`] is due.
+    /// Returns the time at which [`Once::tick`] is next due.
     pub fn next_wake(&self) -> Option<TimeMs> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         [self.claims.next_wake(), self.ledger.next_wake(), self.sweep.next_wake(), deadline]
@@ -177,27 +177,27 @@
             .min()
     }
 
-    /// Makes this process delete old claims of these organisations whose owners are gone.
+    /// Sets the organisations whose orphaned claims this process deletes.
     ///
-    /// One process of the fleet is enough; a second one does no harm.
-    pub fn set_sweeping(&mut self, organisations: &[OrganisationName]) {
+    /// One process in the fleet suffices; several are safe.
+    pub fn set_swept_organisations(&mut self, organisations: &[OrganisationName]) {
         self.sweep.set_organisations(organisations);
     }
 
-    /// How many keys and claims are remembered.
+    /// Returns the number of recorded keys.
     pub fn len(&self) -> usize {
         self.ledger.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.ledger.is_empty()
     }
 
-    fn waited_too_long(&mut self, ticket: T, out: &mut Vec<OnceAction<T>>) {
+    fn time_out(&mut self, ticket: T, out: &mut Vec<OnceAction<T>>) {
         let waits_for_claim =
             self.waiting.get(&ticket).is_some_and(|waiting| waiting.claim.is_some());
-        self.gone(ticket);
+        self.withdraw(ticket);
         out.push(if waits_for_claim {
             claim_unavailable(ticket)
         } else {
@@ -219,7 +219,9 @@
 
     fn drop_expired(&mut self, now: TimeMs, out: &mut Vec<OnceAction<T>>) {
         let dropped = self.ledger.expire(now).0;
-        out.extend(dropped.into_iter().map(|dropped| OnceAction::Forget { ticket: dropped.of }));
+        out.extend(
+            dropped.into_iter().map(|dropped| OnceAction::DropAnswer { ticket: dropped.of }),
+        );
     }
 }
 
@@ -227,11 +229,11 @@
     out.extend(calls.into_iter().map(|(call, request)| OnceAction::Store { call, request }));
 }
 
-pub(super) const fn spent<T>(ticket: T) -> OnceAction<T> {
+pub(super) const fn answer_lost<T>(ticket: T) -> OnceAction<T> {
     OnceAction::Refuse { ticket, refusal: Refusal::may_have_run(RefusalCode::AnswerLost) }
 }
 
-/// The owner of the key could not be found out: an earlier try may have run at another node.
+/// Refuses a request whose key has no known owner: an earlier attempt may have run on another node.
 pub(super) const fn claim_unavailable<T>(ticket: T) -> OnceAction<T> {
     let refusal = Refusal::may_have_run(RefusalCode::ClaimUnavailable)
         .with_retry_after_ms(CLAIM_RETRY_AFTER_MS);
--- a/crates/once/src/guard/settings.rs
+++ b/crates/once/src/guard/settings.rs
@@ -3,32 +3,33 @@
 use crate::ledger::LedgerLimits;
 
 state! {
-    /// Bounds of one process's guard.
+    /// Settings of the guard of one process.
     #[derive(Copy, Eq)]
     pub struct OnceSettings {
-        /// Issued keys alive at a time at most.
+        /// Maximum number of unexpired issued keys.
         pub keys_max: u64,
-        /// Lifetime of an issued key.
+        /// Lifetime of an issued key, in milliseconds.
         pub key_life_ms: u64,
-        /// Claims that this process creates a second at most.
+        /// Maximum number of claims that this process creates per second.
         pub claims_per_s: u32,
-        /// Claims remembered at most.
+        /// Maximum number of recorded claims.
         pub claims_max: usize,
-        /// How long a claim is remembered from its first use; a retry after that is a new request.
+        /// Lifetime of a claim from its first use, in milliseconds; a later retry runs as a new
+        /// request.
         ///
-        /// Longer than any request runs: a claim must outlive the request that it guards.
+        /// Must exceed the longest run time of a request.
         pub claim_life_ms: u64,
-        /// How often the node that sweeps lists a part of the claims, to delete those of dead owners.
+        /// Interval between lists of the orphan sweep, in milliseconds; each list covers one shard.
         pub sweep_interval_ms: u64,
-        /// How long a request waits for its claim at most.
+        /// Maximum time that a request waits for its claim, in milliseconds.
         pub claim_wait_ms: u64,
-        /// Bounds on keys and answers remembered.
+        /// Limits of the ledger.
         pub ledger: LedgerLimits,
     }
 }
 
 impl Default for OnceSettings {
-    /// Eight nodes together create 160 claims a second at most, a part of what the Object API takes.
+    /// Returns the default settings, with at most 20 claims per second and process.
     fn default() -> Self {
         Self {
             keys_max: 32_768,
--- a/crates/once/src/key/issuer.rs
+++ b/crates/once/src/key/issuer.rs
@@ -6,25 +6,25 @@
 use crate::key::RequestKey;
 use crate::key::request_key::TAIL_BYTES;
 
-/// What the issuer finds when a key comes back.
+/// Status of a presented key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Checked {
-    /// It was issued to this organisation and is alive until then.
-    Alive {
-        /// When it expires.
+pub enum KeyStatus {
+    /// Issued to this organisation and not expired.
+    Valid {
+        /// Expiry time.
         until: TimeMs,
     },
-    /// It was issued to this organisation, but what became of it is no longer remembered.
+    /// Issued to this organisation, but expired, so its outcome is no longer recorded.
     Expired,
-    /// It was never issued to this organisation here.
+    /// Never issued to this organisation by this incarnation.
     Unknown,
 }
 
-/// Issues request keys of one incarnation and checks them when they come back.
+/// Issues request keys of one incarnation and verifies presented keys.
 ///
-/// It keeps one record for each batch of keys, and at most `keys_max` keys are alive at a time, so
-/// memory is bounded. The tail of a key is a keyed hash over issuer, sequence and organisation:
-/// nobody can guess another caller's key, and an expired key is still told from a forged one.
+/// Memory is bounded: one record per batch, and at most `keys_max` unexpired keys. The tail of a
+/// key is a keyed hash over issuer, sequence and organisation, so that keys cannot be guessed and
+/// an expired key can be distinguished from a forged one.
 #[derive(Clone, Debug)]
 pub struct KeyIssuer {
     incarnation: Incarnation,
@@ -44,7 +44,7 @@
 }
 
 impl KeyIssuer {
-    /// An issuer that has issued nothing; `seed` must be unpredictable.
+    /// Creates an issuer without issued keys; `seed` must be unpredictable.
     pub const fn new(
         incarnation: Incarnation,
         seed: [u8; 32],
@@ -57,8 +57,8 @@
 
     /// Issues up to `count` keys; fewer, or none, while the limits are reached.
     ///
-    /// One organisation holds at most a quarter of all keys, so that one caller that asks without
-    /// end leaves keys for the others.
+    /// Each organisation is limited to a quarter of all unexpired keys, so that one caller cannot
+    /// exhaust the keys of the others.
     pub fn issue(
         &mut self,
         now: TimeMs,
@@ -66,11 +66,11 @@
         count: u64,
     ) -> Vec<RequestKey> {
         self.expire(now);
-        let held: u64 = self.batches.iter().map(|batch| batch.count).sum();
+        let live: u64 = self.batches.iter().map(|batch| batch.count).sum();
         let own = self.batches.iter().filter(|batch| batch.organisation == *organisation);
         let own: u64 = own.map(|batch| batch.count).sum();
-        let left = self.keys_max.saturating_sub(held);
-        let count = count.min(left).min((self.keys_max / 4).saturating_sub(own));
+        let available = self.keys_max.saturating_sub(live);
+        let count = count.min(available).min((self.keys_max / 4).saturating_sub(own));
         if count == 0 {
             return Vec::new();
         }
@@ -83,12 +83,17 @@
         keys
     }
 
-    /// Checks a key that names this incarnation.
-    pub fn check(&self, now: TimeMs, organisation: &OrganisationName, key: &RequestKey) -> Checked {
+    /// Returns the status of a key that names this incarnation.
+    pub fn check(
+        &self,
+        now: TimeMs,
+        organisation: &OrganisationName,
+        key: &RequestKey,
+    ) -> KeyStatus {
         let expected = self.tail(key.sequence, organisation);
         let difference = expected.iter().zip(&key.tail).fold(0, |sum, (a, b)| sum | (a ^ b));
         if key.issuer != self.incarnation || difference != 0 || key.sequence >= self.next_sequence {
-            return Checked::Unknown;
+            return KeyStatus::Unknown;
         }
         let after = self.batches.partition_point(|batch| batch.first <= key.sequence);
         let batch = after.checked_sub(1).and_then(|index| self.batches.get(index));
@@ -96,10 +101,10 @@
             .filter(|batch| key.sequence < batch.first + batch.count)
             .map(|batch| batch.issued_at.after(self.key_life_ms))
             .filter(|until| *until > now);
-        until.map_or(Checked::Expired, |until| Checked::Alive { until })
+        until.map_or(KeyStatus::Expired, |until| KeyStatus::Valid { until })
     }
 
-    /// Lifetime of a key from its issue, in milliseconds.
+    /// Returns the lifetime of a key from its issue, in milliseconds.
     pub const fn key_life_ms(&self) -> u64 {
         self.key_life_ms
     }
--- a/crates/once/src/key/mod.rs
+++ b/crates/once/src/key/mod.rs
@@ -3,5 +3,5 @@
 mod issuer;
 mod request_key;
 
-pub use issuer::{Checked, KeyIssuer};
+pub use issuer::{KeyIssuer, KeyStatus};
 pub use request_key::{ParseKeyError, RequestKey};
--- a/crates/once/src/key/request_key.rs
+++ b/crates/once/src/key/request_key.rs
@@ -5,14 +5,14 @@
 use celeryhaven_types::{Boot, Incarnation, NodeName};
 use snafu::Snafu;
 
-/// What every issued key starts with; a caller's own key must not.
+/// Prefix of every issued key; reserved, so no caller-chosen key has it.
 const PREFIX: &str = "chk1.";
 
-/// Bytes of the tail that nobody can guess.
+/// Length of the keyed hash at the end of a key.
 pub(crate) const TAIL_BYTES: usize = 16;
 
 state! {
-    /// A request key that one incarnation issued.
+    /// A request key issued by one incarnation.
     ///
     /// ```
     /// use celeryhaven_once::RequestKey;
@@ -23,23 +23,25 @@
     /// ```
     #[derive(Eq)]
     pub struct RequestKey {
-        /// Who issued it and alone may run it.
+        /// Incarnation that issued the key and is the only one that may run it.
         pub issuer: Incarnation,
-        /// Counts the keys of this incarnation.
+        /// Sequence number among the keys of this incarnation.
         pub sequence: u64,
-        /// Proves that the issuer made it.
+        /// Keyed hash that authenticates the key to its issuer.
         pub tail: [u8; TAIL_BYTES],
     }
 }
 
-/// A text that starts like an issued key but is none.
+/// Error for a text that is not a well-formed issued key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the key starts like an issued one but is damaged: ask `/v1/keys` for a new one"))]
+#[snafu(display(
+    "malformed issued key: expected `chk1.NODE.BOOT.SEQUENCE.TAIL`; request a new key from `/v1/keys`"
+))]
 pub struct ParseKeyError;
 
 impl RequestKey {
-    /// Whether a text claims to be an issued key, damaged or not.
-    pub fn is_claimed_by(text: &str) -> bool {
+    /// Whether a text has the prefix of issued keys, well-formed or not.
+    pub fn has_issued_prefix(text: &str) -> bool {
         text.starts_with(PREFIX)
     }
 }
--- a/crates/once/src/ledger/mod.rs
+++ b/crates/once/src/ledger/mod.rs
@@ -1,9 +1,9 @@
-//! What one process knows of each key.
+//! Execution state of each key in one process.
 
 mod limits;
 mod state;
 mod table;
 
 pub use limits::LedgerLimits;
-pub use state::{Dropped, Entered, Released};
+pub use state::{DroppedAnswer, EnterOutcome, Released};
 pub use table::Ledger;
--- a/crates/once/src/ledger/state.rs
+++ b/crates/once/src/ledger/state.rs
@@ -1,51 +1,51 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// What a request with a key may do.
+    /// Result of entering a request with a key into the ledger.
     #[derive(Copy, Eq)]
-    pub enum Entered<T> {
-        /// It runs; its end must be told to the ledger.
+    pub enum EnterOutcome<T> {
+        /// The request runs; its completion must be reported to the ledger.
         Run,
-        /// Another with this key runs; it waits for that one's end.
-        Waits,
-        /// It gets the kept answer of another one.
+        /// Another request with this key is running; this one waits for its completion.
+        Wait,
+        /// The request receives the cached answer of another one.
         Replay {
-            /// Which one's.
+            /// Request whose answer is replayed.
             of: T,
         },
-        /// The key may have run and its answer is not to be had.
+        /// The key may have run, and no answer is available.
         Spent,
-        /// The key belongs to a request with other content.
+        /// The key was used for a request with different content.
         Mismatch,
-        /// The ledger is full.
+        /// The ledger is full, and the key is not in it.
         Full,
     }
 
-    /// What the end of a request means for those that waited for it.
+    /// Waiting requests released by a request that completed without an answer.
     pub struct Released<T> {
-        /// They get the same end.
+        /// Requests that receive the same refusal.
         pub waiting: Vec<T>,
-        /// This one runs now instead; it has waited longest.
+        /// Longest-waiting request, which runs now instead.
         pub promoted: Option<T>,
     }
 
-    /// An answer that is no longer kept.
+    /// A cached answer that was dropped.
     #[derive(Copy, Eq)]
-    pub struct Dropped<T> {
-        /// The request whose answer it was.
+    pub struct DroppedAnswer<T> {
+        /// Request whose answer was dropped.
         pub of: T,
     }
 }
 
-/// Where a key stands.
+/// Execution state of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyState<T> {
-    /// Nothing with it has left for a target; the next request with it runs.
+    /// No request with the key has run; the next one runs.
     Idle,
-    /// This request runs.
+    /// A request with the key is running.
     Running { by: T },
-    /// This request was answered whole, and the answer is kept.
+    /// A request was answered completely, and the answer is cached.
     Answered { by: T },
-    /// It may have run, and there is no answer to give.
+    /// The key may have run, and no answer is available.
     Spent,
 }
--- a/crates/once/src/ledger/table.rs
+++ b/crates/once/src/ledger/table.rs
@@ -3,26 +3,26 @@
 use celeryhaven_types::{TimeMs, Verdict};
 
 use crate::ledger::state::KeyState;
-use crate::ledger::{Dropped, Entered, LedgerLimits, Released};
+use crate::ledger::{DroppedAnswer, EnterOutcome, LedgerLimits, Released};
 
-/// How much longer a key is kept that still runs when it should be forgotten.
+/// Extension of the expiry of a key that is still running, in milliseconds.
 const RUNNING_EXTENSION_MS: u64 = 1_000;
 
-/// The state of every key that this process alone may run.
+/// Execution state of every key owned by this process.
 ///
-/// A key is never forgotten while it could still be presented: entries live until the instant
-/// given with them, and a full ledger turns new keys away instead of dropping old ones.
+/// Entries are kept until their expiry time, and a full ledger rejects new keys instead of evicting
+/// old ones: an evicted key that is presented again would run twice.
 ///
 /// ```
-/// use celeryhaven_once::{Entered, Ledger, LedgerLimits};
+/// use celeryhaven_once::{EnterOutcome, Ledger, LedgerLimits};
 /// use celeryhaven_types::TimeMs;
 ///
 /// let mut ledger = Ledger::new(LedgerLimits::default());
 /// let (now, until) = (TimeMs::new(0), TimeMs::new(60_000));
-/// assert_eq!(ledger.enter("key", 1_u64, 0, until), Entered::Run);
-/// assert_eq!(ledger.enter("key", 2, 0, until), Entered::Waits);
-/// assert_eq!(ledger.answered(now, 1), vec![2]);
-/// assert_eq!(ledger.enter("key", 3, 0, until), Entered::Replay { of: 1 });
+/// assert_eq!(ledger.enter("key", 1_u64, 0, until), EnterOutcome::Run);
+/// assert_eq!(ledger.enter("key", 2, 0, until), EnterOutcome::Wait);
+/// assert_eq!(ledger.record_answer(now, 1), vec![2]);
+/// assert_eq!(ledger.enter("key", 3, 0, until), EnterOutcome::Replay { of: 1 });
 /// ```
 #[derive(Clone, Debug)]
 pub struct Ledger<K, T> {
@@ -42,7 +42,7 @@
 }
 
 impl<K: Ord + Clone, T: Ord + Copy> Ledger<K, T> {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub const fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Presents a key with a request; the key is remembered until `until` at least.
+    /// Enters a request with a key, which is recorded until `until` at least.
     ///
-    /// `fingerprint` tells requests of different content apart: a key that was used for another
-    /// content gives [`Entered::Mismatch`] and never the other request's answer.
-    pub fn enter(&mut self, key: K, ticket: T, fingerprint: u64, until: TimeMs) -> Entered<T> {
+    /// `fingerprint` identifies the content of a request: a key that was used with other content
+    /// returns [`EnterOutcome::Mismatch`], never the answer to the other request.
+    pub fn enter(&mut self, key: K, ticket: T, fingerprint: u64, until: TimeMs) -> EnterOutcome<T> {
         if !self.entries.contains_key(&key) && self.entries.len() >= self.limits.entries_max {
-            return Entered::Full;
+            return EnterOutcome::Full;
         }
         let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry {
             state: KeyState::Idle,
@@ -73,26 +73,26 @@
             entry.until = until;
         }
         if entry.fingerprint != fingerprint {
-            return Entered::Mismatch;
+            return EnterOutcome::Mismatch;
         }
         match entry.state {
             KeyState::Idle => {
                 entry.state = KeyState::Running { by: ticket };
                 self.by_ticket.insert(ticket, key);
-                Entered::Run
+                EnterOutcome::Run
             }
             KeyState::Running { .. } => {
                 entry.waiting.push(ticket);
                 self.by_ticket.insert(ticket, key);
-                Entered::Waits
+                EnterOutcome::Wait
             }
-            KeyState::Answered { by } => Entered::Replay { of: by },
-            KeyState::Spent => Entered::Spent,
+            KeyState::Answered { by } => EnterOutcome::Replay { of: by },
+            KeyState::Spent => EnterOutcome::Spent,
         }
     }
 
-    /// The running request was answered whole; gives those that get the same answer.
-    pub fn answered(&mut self, now: TimeMs, ticket: T) -> Vec<T> {
+    /// Records a complete answer to the running request; returns the requests that receive it too.
+    pub fn record_answer(&mut self, now: TimeMs, ticket: T) -> Vec<T> {
         let Some(key) = self.by_ticket.remove(&ticket) else { return Vec::new() };
         let Some(entry) = self.entries.get_mut(&key) else { return Vec::new() };
         entry.state = KeyState::Answered { by: ticket };
@@ -104,17 +104,17 @@
         waiting
     }
 
-    /// The running request ended without an answer; gives what that means for those that wait.
+    /// Records that a request completed without an answer; returns the requests that it releases.
     ///
-    /// If nothing ran and `promote` is set, the one that has waited longest runs instead of being
-    /// refused for a reason that was only the first one's own, such as its earlier deadline.
-    pub fn refused(&mut self, ticket: T, verdict: Verdict, promote: bool) -> Released<T> {
-        let nobody = Released { waiting: Vec::new(), promoted: None };
-        let Some(key) = self.by_ticket.remove(&ticket) else { return nobody };
-        let Some(entry) = self.entries.get_mut(&key) else { return nobody };
+    /// If nothing ran and `promote` is set, the longest-waiting request runs instead of being
+    /// refused for a reason that applies only to the first one, such as an earlier deadline.
+    pub fn record_refusal(&mut self, ticket: T, verdict: Verdict, promote: bool) -> Released<T> {
+        let none = Released { waiting: Vec::new(), promoted: None };
+        let Some(key) = self.by_ticket.remove(&ticket) else { return none };
+        let Some(entry) = self.entries.get_mut(&key) else { return none };
         if entry.state != (KeyState::Running { by: ticket }) {
             entry.waiting.retain(|waiter| *waiter != ticket);
-            return nobody;
+            return none;
         }
         let ran = verdict != Verdict::NotRun;
         entry.state = if ran { KeyState::Spent } else { KeyState::Idle };
@@ -130,7 +130,7 @@
         Released { waiting, promoted: None }
     }
 
-    /// A request that waits for another's end is no longer there.
+    /// Removes a waiting request; a running one is unaffected.
     pub fn withdraw(&mut self, ticket: T) {
         let Some(key) = self.by_ticket.get(&ticket) else { return };
         let Some(entry) = self.entries.get_mut(key) else { return };
@@ -140,32 +140,32 @@
         }
     }
 
-    /// Whether the key is remembered.
+    /// Whether the ledger has an entry for the key.
     pub fn contains(&self, key: &K) -> bool {
         self.entries.contains_key(key)
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the ledger is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// When the next key or answer may be dropped.
+    /// Returns the time of the next expiry of a key or an answer.
     pub fn next_wake(&self) -> Option<TimeMs> {
         let key = self.expiries.first().map(|(at, _)| *at);
         let answer = self.answers.front().map(|(at, _, _)| *at);
         key.into_iter().chain(answer).min()
     }
 
-    /// Drops keys and answers whose time has come; gives the dropped answers and keys.
-    pub fn expire(&mut self, now: TimeMs) -> (Vec<Dropped<T>>, Vec<K>) {
-        let mut dropped = self.drop_old_answers(now);
-        let mut forgotten = Vec::new();
+    /// Removes expired keys and answers and returns them.
+    pub fn expire(&mut self, now: TimeMs) -> (Vec<DroppedAnswer<T>>, Vec<K>) {
+        let mut dropped = self.expire_answers(now);
+        let mut expired_keys = Vec::new();
         while self.expiries.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, key)) = self.expiries.pop_first() else { break };
             let Some(entry) = self.entries.get_mut(&key) else { continue };
@@ -175,15 +175,15 @@
                 continue;
             }
             if let KeyState::Answered { by } = entry.state {
-                dropped.push(Dropped { of: by });
+                dropped.push(DroppedAnswer { of: by });
             }
             self.entries.remove(&key);
-            forgotten.push(key);
+            expired_keys.push(key);
         }
-        (dropped, forgotten)
+        (dropped, expired_keys)
     }
 
-    fn drop_old_answers(&mut self, now: TimeMs) -> Vec<Dropped<T>> {
+    fn expire_answers(&mut self, now: TimeMs) -> Vec<DroppedAnswer<T>> {
         let mut dropped = Vec::new();
         while let Some((at, _, _)) = self.answers.front() {
             if *at > now && self.answers.len() <= self.limits.answers_max {
@@ -193,7 +193,7 @@
             let Some(entry) = self.entries.get_mut(&key) else { continue };
             if entry.state == (KeyState::Answered { by }) {
                 entry.state = KeyState::Spent;
-                dropped.push(Dropped { of: by });
+                dropped.push(DroppedAnswer { of: by });
             }
         }
         dropped
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,25 +1,24 @@
 //! At-most-once request keys, without I/O.
 //!
-//! Several nodes take requests, callers retry at any of them, and no node shares memory with
-//! another. A request that must not run twice carries a key, and each key has exactly one process
-//! that may run it:
+//! Callers may retry a request at any node, and nodes share no memory. A request that must not run
+//! twice carries an idempotency key, and exactly one process may run each key:
 //!
-//! - a key that a node **issued** belongs to that incarnation (node and boot). Every other node
-//!   passes it on. No store and no agreement are needed, and when the incarnation is gone the honest
-//!   answer is "may have run".
-//! - a key that the caller **made up** belongs to the incarnation whose claim object was created
-//!   first in the Object API.
+//! - an **issued** key is owned by the incarnation (node and boot) that issued it; every other node
+//!   delegates the request to it. This needs neither the store nor consensus; if the incarnation is
+//!   unreachable, the request is refused as "may have run".
+//! - a **caller-chosen** key is owned by the incarnation that first created its claim object in the
+//!   Object API.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`key`] | the text form of an issued key, and the issuer that makes and checks them |
-//! | [`ledger`] | what one process knows of each key: running, answered, may have run |
-//! | [`claims`] | claim objects for keys that callers made up |
-//! | [`guard`] | [`Once`], which joins the three behind one call for each event |
+//! | [`key`] | text form of issued keys, and the issuer that creates and verifies them |
+//! | [`ledger`] | execution state of each key in one process: running, answered, may have run |
+//! | [`claims`] | claim objects for caller-chosen keys |
+//! | [`guard`] | [`Once`], which combines the three behind one method per event |
 //!
-//! [`Once`] holds no clock, socket or thread: the program around it carries its actions out.
+//! [`Once`] has no clock, socket or thread: the embedding program executes the actions it returns.
 //!
-//! A retry after a lost answer is in `examples/lost_answer.rs`:
+//! `examples/lost_answer.rs` shows a retry after a lost answer:
 //! `cargo run -p celeryhaven-once --example lost_answer`.
 
 pub mod claims;
@@ -28,6 +27,6 @@
 pub mod ledger;
 
 pub use claims::Claim;
-pub use guard::{Once, OnceAction, OnceCall, OnceSettings, Presentation};
+pub use guard::{KeyedRequest, Once, OnceAction, OnceCall, OnceSettings};
 pub use key::{KeyIssuer, ParseKeyError, RequestKey};
-pub use ledger::{Entered, Ledger, LedgerLimits};
+pub use ledger::{EnterOutcome, Ledger, LedgerLimits};
--- a/crates/once/tests/once.rs
+++ b/crates/once/tests/once.rs
@@ -1,6 +1,6 @@
-//! Keys at one process: issue, run, wait, replay, spend, claim.
+//! Keys in one process: issue, run, wait, replay, refuse, claim.
 
-use celeryhaven_once::{Once, OnceAction, OnceCall, OnceSettings, Presentation};
+use celeryhaven_once::{KeyedRequest, Once, OnceAction, OnceCall, OnceSettings};
 use celeryhaven_types::store::{Object, ObjectKey, ObjectVersion, StoreReply, StoreRequest};
 use celeryhaven_types::{
     Boot, Incarnation, NodeName, OrganisationName, Refusal, RefusalCode, TimeMs, Verdict,
@@ -31,38 +31,38 @@
     }
 
     fn present(&mut self, now: u64, ticket: u64, key: &str) -> Actions {
-        self.present_as(now, ticket, key, false)
+        self.present_with(now, ticket, key, false)
     }
 
-    fn present_as(&mut self, now: u64, ticket: u64, key: &str, passed_on: bool) -> Actions {
+    fn present_with(&mut self, now: u64, ticket: u64, key: &str, delegated: bool) -> Actions {
         let mut out = Vec::new();
-        let presentation = Presentation {
+        let request = KeyedRequest {
             ticket,
             organisation: &self.organisation,
             key,
             fingerprint: 1,
             deadline_at: TimeMs::new(now + DEADLINE_MS),
-            passed_on,
+            delegated,
         };
-        self.once.present(TimeMs::new(now), presentation, &mut out);
+        self.once.present(TimeMs::new(now), request, &mut out);
         out
     }
 
-    fn refused(&mut self, ticket: u64, refusal: Refusal) -> Actions {
+    fn record_refusal(&mut self, ticket: u64, refusal: Refusal) -> Actions {
         let mut out = Vec::new();
-        self.once.refused(ticket, refusal, &mut out);
+        self.once.record_refusal(ticket, refusal, &mut out);
         out
     }
 
-    fn answered(&mut self, now: u64, ticket: u64) -> Actions {
+    fn record_answer(&mut self, now: u64, ticket: u64) -> Actions {
         let mut out = Vec::new();
-        self.once.answered(TimeMs::new(now), ticket, &mut out);
+        self.once.record_answer(TimeMs::new(now), ticket, &mut out);
         out
     }
 
     fn reply(&mut self, now: u64, call: OnceCall, reply: StoreReply) -> Actions {
         let mut out = Vec::new();
-        self.once.store_reply(TimeMs::new(now), call, &reply, &mut out);
+        self.once.apply_store_reply(TimeMs::new(now), call, &reply, &mut out);
         out
     }
 
@@ -73,26 +73,26 @@
     }
 }
 
-fn call_of(actions: &Actions) -> (OnceCall, StoreRequest) {
+fn store_call(actions: &Actions) -> (OnceCall, StoreRequest) {
     match actions.as_slice() {
         [OnceAction::Store { call, request }] => (*call, request.clone()),
-        other => panic!("one store call expected, not {other:?}"),
+        other => panic!("expected one store call, got {other:?}"),
     }
 }
 
 fn claim_object(actions: &Actions) -> Object {
-    match call_of(actions).1 {
+    match store_call(actions).1 {
         StoreRequest::Create { key, value } => {
             Object { key, version: ObjectVersion::new(9), value }
         }
-        other => panic!("a create expected, not {other:?}"),
+        other => panic!("expected a create, got {other:?}"),
     }
 }
 
-fn refusal_of(actions: &Actions) -> Refusal {
+fn only_refusal(actions: &Actions) -> Refusal {
     match actions.as_slice() {
         [OnceAction::Refuse { refusal, .. }] => *refusal,
-        other => panic!("one refusal expected, not {other:?}"),
+        other => panic!("expected one refusal, got {other:?}"),
     }
 }
 
@@ -102,7 +102,7 @@
     let key = guard.issue(0);
     assert_eq!(guard.present(0, 1, &key), vec![OnceAction::Run { ticket: 1 }]);
     assert_eq!(guard.present(5, 2, &key), vec![]);
-    assert_eq!(guard.answered(9, 1), vec![OnceAction::Replay { ticket: 2, of: 1 }]);
+    assert_eq!(guard.record_answer(9, 1), vec![OnceAction::Replay { ticket: 2, of: 1 }]);
     assert_eq!(guard.present(10, 3, &key), vec![OnceAction::Replay { ticket: 3, of: 1 }]);
 }
 
@@ -111,7 +111,7 @@
     let mut guard = Guard::new(1);
     let key = guard.issue(0);
     guard.present(0, 1, &key);
-    guard.refused(1, Refusal::not_run(RefusalCode::Overloaded));
+    guard.record_refusal(1, Refusal::not_run(RefusalCode::Overloaded));
     assert_eq!(guard.present(1, 2, &key), vec![OnceAction::Run { ticket: 2 }]);
 }
 
@@ -122,8 +122,11 @@
     guard.present(0, 1, &key);
     guard.present(0, 2, &key);
     let lost = Refusal::may_have_run(RefusalCode::AnswerLost);
-    assert_eq!(guard.refused(1, lost), vec![OnceAction::Refuse { ticket: 2, refusal: lost }]);
-    assert_eq!(refusal_of(&guard.present(1, 3, &key)), lost);
+    assert_eq!(
+        guard.record_refusal(1, lost),
+        vec![OnceAction::Refuse { ticket: 2, refusal: lost }]
+    );
+    assert_eq!(only_refusal(&guard.present(1, 3, &key)), lost);
 }
 
 #[test]
@@ -133,8 +136,8 @@
     guard.present(0, 1, &key);
     guard.present(0, 2, &key);
     let late = Refusal::not_run(RefusalCode::DeadlineUnreachable);
-    assert_eq!(guard.refused(1, late), vec![OnceAction::Run { ticket: 2 }]);
-    assert_eq!(guard.answered(1, 2), vec![]);
+    assert_eq!(guard.record_refusal(1, late), vec![OnceAction::Run { ticket: 2 }]);
+    assert_eq!(guard.record_answer(1, 2), vec![]);
 }
 
 #[test]
@@ -144,7 +147,7 @@
     guard.present(0, 1, &key);
     guard.present(0, 2, &key);
     assert_eq!(guard.tick(DEADLINE_MS - 1), vec![]);
-    assert_eq!(refusal_of(&guard.tick(DEADLINE_MS)).verdict, Verdict::MayHaveRun);
+    assert_eq!(only_refusal(&guard.tick(DEADLINE_MS)).verdict, Verdict::MayHaveRun);
 }
 
 #[test]
@@ -152,9 +155,9 @@
     let mut guard = Guard::new(1);
     let key = guard.issue(0);
     guard.present(0, 1, &key);
-    guard.answered(1, 1);
-    assert_eq!(guard.tick(120_001), vec![OnceAction::Forget { ticket: 1 }]);
-    assert_eq!(refusal_of(&guard.present(120_002, 2, &key)).verdict, Verdict::MayHaveRun);
+    guard.record_answer(1, 1);
+    assert_eq!(guard.tick(120_001), vec![OnceAction::DropAnswer { ticket: 1 }]);
+    assert_eq!(only_refusal(&guard.present(120_002, 2, &key)).verdict, Verdict::MayHaveRun);
 }
 
 #[test]
@@ -162,11 +165,11 @@
     let mut guard = Guard::new(1);
     let key = guard.issue(0);
     guard.present(0, 1, &key);
-    guard.answered(1, 1);
+    guard.record_answer(1, 1);
     guard.tick(600_000);
-    let refusal = refusal_of(&guard.present(600_001, 2, &key));
+    let refusal = only_refusal(&guard.present(600_001, 2, &key));
     assert_eq!(refusal, Refusal::may_have_run(RefusalCode::UnknownKey));
-    assert!(guard.once.is_empty(), "an expired key takes no memory");
+    assert!(guard.once.is_empty(), "an expired key is still recorded");
 }
 
 #[test]
@@ -175,21 +178,21 @@
     let key = guard.issue(0);
     let forged = key.replace(&key[key.len() - 2..], if key.ends_with("00") { "11" } else { "00" });
     let unknown = Refusal::not_run(RefusalCode::UnknownKey);
-    assert_eq!(refusal_of(&guard.present(0, 1, &forged)), unknown);
+    assert_eq!(only_refusal(&guard.present(0, 1, &forged)), unknown);
     guard.organisation = OrganisationName::new("teas");
-    assert_eq!(refusal_of(&guard.present(0, 2, &key)), unknown);
-    assert_eq!(refusal_of(&guard.present(0, 3, "chk1.damaged")), unknown);
+    assert_eq!(only_refusal(&guard.present(0, 2, &key)), unknown);
+    assert_eq!(only_refusal(&guard.present(0, 3, "chk1.damaged")), unknown);
 }
 
 #[test]
-fn present_other_incarnation_passed_on_once() {
+fn present_other_incarnation_delegated_once() {
     let key = Guard::new(1).issue(0);
-    let mut reborn = Guard::new(2);
+    let mut restarted = Guard::new(2);
     let issuer = Incarnation::new(NodeName::new("entry-1"), Boot::new(1));
-    let passed = vec![OnceAction::PassOn { ticket: 1, to: issuer }];
-    assert_eq!(reborn.present(0, 1, &key), passed);
+    let delegate = vec![OnceAction::Delegate { ticket: 1, to: issuer }];
+    assert_eq!(restarted.present(0, 1, &key), delegate);
     let gone = Refusal::may_have_run(RefusalCode::IssuerGone);
-    assert_eq!(refusal_of(&reborn.present_as(0, 2, &key, true)), gone);
+    assert_eq!(only_refusal(&restarted.present_with(0, 2, &key, true)), gone);
 }
 
 #[test]
@@ -197,7 +200,7 @@
     let settings = OnceSettings { keys_max: 40, ..OnceSettings::default() };
     let mut guard = Guard::with_settings(1, settings);
     let first = guard.once.issue(TimeMs::new(0), &guard.organisation, 100);
-    assert_eq!(first.len(), 10, "one organisation holds a quarter at most");
+    assert_eq!(first.len(), 10, "an organisation gets at most a quarter of the keys");
     let other = OrganisationName::new("teas");
     assert_eq!(guard.once.issue(TimeMs::new(0), &other, 100).len(), 10);
     assert!(guard.once.issue(TimeMs::new(1), &guard.organisation, 1).is_empty());
@@ -208,52 +211,56 @@
 fn claim_written_runs() {
     let mut guard = Guard::new(1);
     let actions = guard.present(0, 1, "quote-17");
-    let call = call_of(&actions).0;
+    let call = store_call(&actions).0;
     let written = StoreReply::Written { version: ObjectVersion::new(9) };
     assert_eq!(guard.reply(3, call, written), vec![OnceAction::Run { ticket: 1 }]);
-    assert_eq!(guard.present(4, 2, "quote-17"), vec![], "it waits for the first");
+    assert_eq!(guard.present(4, 2, "quote-17"), vec![], "the second request waits for the first");
 }
 
 #[test]
 fn claim_answer_lost_read_back() {
-    // The create takes effect but its answer is lost. Nothing may leave before the claim was read
-    // back, and the claim's identity shows that it is this process's own.
+    // The create takes effect but its reply is lost. The request must not run before the claim has
+    // been read back and recognised by its id.
     let mut guard = Guard::new(1);
     let actions = guard.present(0, 1, "quote-17");
     let object = claim_object(&actions);
-    assert_eq!(guard.reply(3, call_of(&actions).0, StoreReply::Unknown), vec![]);
+    assert_eq!(guard.reply(3, store_call(&actions).0, StoreReply::Unknown), vec![]);
     let read = guard.tick(53);
-    let (call, request) = call_of(&read);
+    let (call, request) = store_call(&read);
     assert_eq!(request, StoreRequest::Get { key: object.key.clone() });
     let run = vec![OnceAction::Run { ticket: 1 }];
     assert_eq!(guard.reply(56, call, StoreReply::Found(object)), run);
 }
 
 #[test]
-fn claim_of_other_passed_on() {
+fn claim_of_other_delegated() {
     let object = claim_object(&Guard::new(1).present(0, 1, "quote-17"));
     let mut other = Guard::new(2);
-    let create = call_of(&other.present(0, 5, "quote-17")).0;
-    let read = call_of(&other.reply(1, create, StoreReply::Conflict)).0;
+    let create = store_call(&other.present(0, 5, "quote-17")).0;
+    let read = store_call(&other.reply(1, create, StoreReply::Conflict)).0;
     let owner = Incarnation::new(NodeName::new("entry-1"), Boot::new(1));
-    let passed = vec![OnceAction::PassOn { ticket: 5, to: owner.clone() }];
-    assert_eq!(other.reply(2, read, StoreReply::Found(object)), passed);
-    let again = vec![OnceAction::PassOn { ticket: 6, to: owner }];
-    assert_eq!(other.present(3, 6, "quote-17"), again, "without a further store call");
+    let delegate = vec![OnceAction::Delegate { ticket: 5, to: owner.clone() }];
+    assert_eq!(other.reply(2, read, StoreReply::Found(object)), delegate);
+    let again = vec![OnceAction::Delegate { ticket: 6, to: owner }];
+    assert_eq!(
+        other.present(3, 6, "quote-17"),
+        again,
+        "the known owner is used without a store call"
+    );
 }
 
 #[test]
-fn claim_forgotten_own_is_spent() {
-    // This process finds a claim of its own that it does not remember: the key may have run.
+fn claim_of_unknown_id_is_spent() {
+    // A claim of this process with an unknown id may belong to an earlier run of the key.
     let mut guard = Guard::new(1);
-    let create = call_of(&guard.present(0, 1, "quote-17")).0;
-    let read = call_of(&guard.reply(1, create, StoreReply::Conflict)).0;
+    let create = store_call(&guard.present(0, 1, "quote-17")).0;
+    let read = store_call(&guard.reply(1, create, StoreReply::Conflict)).0;
     let object = Object {
         key: ObjectKey::new("once/attics/x"),
         version: ObjectVersion::new(1),
         value: r#"{"owner":{"node":"entry-1","boot":1},"claim_id":77}"#.into(),
     };
-    let refusal = refusal_of(&guard.reply(2, read, StoreReply::Found(object)));
+    let refusal = only_refusal(&guard.reply(2, read, StoreReply::Found(object)));
     assert_eq!(refusal.verdict, Verdict::MayHaveRun);
 }
 
@@ -263,29 +270,29 @@
     let mut actions = guard.present(0, 1, "quote-17");
     for now in 1..2_000 {
         if !actions.is_empty() {
-            let call = call_of(&actions).0;
+            let call = store_call(&actions).0;
             actions = guard.reply(now, call, StoreReply::Unknown);
         }
         actions.extend(guard.tick(now));
     }
-    let refusal = refusal_of(&guard.tick(2_000));
+    let refusal = only_refusal(&guard.tick(2_000));
     assert_eq!(refusal.code, RefusalCode::ClaimUnavailable);
     assert!(refusal.retry_after_ms.is_some());
 }
 
 #[test]
-fn claim_landing_after_giving_up_stays_usable() {
-    // The create of a request that gave up lands late. A retry at this process finds the claim by
-    // its identity and runs; were it taken for a forgotten one, the key would be lost for good.
+fn claim_written_after_timeout_stays_usable() {
+    // The create of a request that timed out takes effect late. A retry must recognise the claim by
+    // its id and run; otherwise the key could never run.
     let mut guard = Guard::new(1);
     let actions = guard.present(0, 1, "quote-17");
     let object = claim_object(&actions);
     guard.tick(2_000);
-    guard.reply(2_100, call_of(&actions).0, StoreReply::Unknown);
+    guard.reply(2_100, store_call(&actions).0, StoreReply::Unknown);
     let retry = guard.present(3_000, 2, "quote-17");
-    let read = guard.reply(3_001, call_of(&retry).0, StoreReply::Conflict);
+    let read = guard.reply(3_001, store_call(&retry).0, StoreReply::Conflict);
     let run = vec![OnceAction::Run { ticket: 2 }];
-    assert_eq!(guard.reply(3_002, call_of(&read).0, StoreReply::Found(object)), run);
+    assert_eq!(guard.reply(3_002, store_call(&read).0, StoreReply::Found(object)), run);
 }
 
 #[test]
@@ -302,19 +309,19 @@
 }
 
 #[test]
-fn claim_deleted_after_its_life() {
+fn claim_deleted_after_lifetime() {
     let settings = OnceSettings { claim_life_ms: 1_000, ..OnceSettings::default() };
     let mut guard = Guard::with_settings(1, settings);
     let actions = guard.present(0, 1, "quote-17");
     let key = claim_object(&actions).key;
     let version = ObjectVersion::new(9);
-    guard.reply(3, call_of(&actions).0, StoreReply::Written { version });
-    let held: Actions = (4..1_100).flat_map(|now| guard.tick(now)).collect();
-    assert_eq!(held, vec![], "a running key keeps its claim");
-    guard.answered(1_100, 1);
-    let ended: Actions = (1_101..4_200).flat_map(|now| guard.tick(now)).collect();
-    assert!(ended.contains(&OnceAction::Forget { ticket: 1 }));
-    let deletes = ended.iter().filter(|action| {
+    guard.reply(3, store_call(&actions).0, StoreReply::Written { version });
+    let deletes_while_running: Actions = (4..1_100).flat_map(|now| guard.tick(now)).collect();
+    assert_eq!(deletes_while_running, vec![], "the claim of a running key was deleted");
+    guard.record_answer(1_100, 1);
+    let after_answer: Actions = (1_101..4_200).flat_map(|now| guard.tick(now)).collect();
+    assert!(after_answer.contains(&OnceAction::DropAnswer { ticket: 1 }));
+    let deletes = after_answer.iter().filter(|action| {
         matches!(action, OnceAction::Store { request: StoreRequest::Delete { key: k, version: v }, .. }
             if *k == key && *v == version)
     });
@@ -323,13 +330,13 @@
 
 #[test]
 fn sweep_deletes_orphans_only() {
-    // A dead owner's claim is deleted once this process has itself seen it for long enough; a claim
-    // made since is kept, and a node that is not told to sweep lists nothing.
+    // A claim is deleted only after this process has listed it for the orphan lifetime; newer claims
+    // stay, and a node without organisations to sweep lists nothing.
     let settings = OnceSettings { claim_life_ms: 3_000, ..OnceSettings::default() };
     let settings = OnceSettings { sweep_interval_ms: 10, ..settings };
     let mut guard = Guard::with_settings(1, settings);
     assert_eq!(guard.tick(10), vec![]);
-    guard.once.set_sweeping(&[OrganisationName::new("attics")]);
+    guard.once.set_swept_organisations(&[OrganisationName::new("attics")]);
     let object = |version| Object {
         key: ObjectKey::new(format!("once/attics/0{version}")),
         version: ObjectVersion::new(version),
@@ -338,18 +345,21 @@
     let mut deleted = Vec::new();
     for now in (10..20_000).step_by(10) {
         for action in guard.tick(now) {
-            let (call, request) = call_of(&vec![action]);
-            let StoreRequest::List { prefix } = request else { panic!("only lists are due") };
-            let shown = if now < 10_000 { vec![object(5)] } else { vec![object(5), object(900)] };
-            let objects = if prefix.as_str().ends_with("/0") { shown } else { Vec::new() };
+            let (call, request) = store_call(&vec![action]);
+            let StoreRequest::List { prefix } = request else { panic!("expected only lists") };
+            let listed = if now < 10_000 { vec![object(5)] } else { vec![object(5), object(900)] };
+            let objects = if prefix.as_str().ends_with("/0") { listed } else { Vec::new() };
             let version = ObjectVersion::new(if now < 10_000 { 10 } else { 1_000 });
             for action in guard.reply(now, call, StoreReply::Listed { version, objects }) {
-                deleted.push((now, call_of(&vec![action]).1));
+                deleted.push((now, store_call(&vec![action]).1));
             }
         }
     }
-    let first = deleted.first().expect("an orphan is found").0;
-    assert!((6_000..8_000).contains(&first), "after twice a claim's life: {first}");
+    let first = deleted.first().expect("no orphan was deleted").0;
+    assert!(
+        (6_000..8_000).contains(&first),
+        "deleted at {first} ms, not after twice the claim lifetime"
+    );
     let new = object(900).key;
     let early = deleted.iter().find(|(now, request)| {
         *now < 16_000 && matches!(request, StoreRequest::Delete { key, .. } if *key == new)
