--- a/crates/args/src/args.rs
+++ b/crates/args/src/args.rs
@@ -6,27 +6,27 @@
 use crate::ArgsError;
 use crate::error::{OptionSnafu, UnknownSnafu};
 
-/// What a command line asks for.
+/// Action requested by a command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Args {
     /// Print the help.
     Help,
     /// Print the version.
     Version,
-    /// Check the settings.
+    /// Check the settings and exit.
     Check {
-        /// Their file.
+        /// Path of the settings file.
         settings: String,
     },
-    /// Serve.
+    /// Run the process.
     Run {
-        /// The file of the settings.
+        /// Path of the settings file.
         settings: String,
     },
 }
 
 impl Args {
-    /// Reads a command line without its program name.
+    /// Parses a command line without the program name.
     ///
     /// # Errors
     ///
--- a/crates/args/src/error.rs
+++ b/crates/args/src/error.rs
@@ -2,20 +2,20 @@
 
 use snafu::Snafu;
 
-/// What is wrong with a command line.
+/// Error in a command line.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ArgsError {
     /// An option is missing or malformed.
     #[snafu(display("{source}; see --help"))]
     Option {
-        /// What.
+        /// The cause.
         source: pico_args::Error,
     },
-    /// Something is left over.
+    /// An argument is not known.
     #[snafu(display("`{}` is not an option; see --help", left.to_string_lossy()))]
     Unknown {
-        /// What.
+        /// The argument.
         left: OsString,
     },
 }
--- a/crates/args/src/help.rs
+++ b/crates/args/src/help.rs
@@ -1,4 +1,4 @@
-/// What `--help` prints for a program of this name and purpose.
+/// Returns the `--help` text of a program.
 ///
 /// ```
 /// let text = celeryhaven_args::help("celeryhaven-entry", "routes requests");
--- a/crates/args/src/lib.rs
+++ b/crates/args/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line of programs that serve from a settings file.
+//! Command line of processes that run from a settings file.
 
 mod args;
 mod error;
--- a/crates/checks/src/checker/calls.rs
+++ b/crates/checks/src/checker/calls.rs
@@ -10,18 +10,18 @@
     non_idempotent: bool,
     pieces: u32,
     vms: Vec<VmName>,
-    /// Calls that have not been told "not run".
+    /// Number of calls without the verdict "not run".
     open: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     operation: OperationId,
-    told: Option<Verdict>,
+    verdict: Option<Verdict>,
     cut_off: bool,
 }
 
-/// What callers asked and were told, against what targets ran.
+/// Checks the answers to callers against the runs at targets.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Calls {
     operations: BTreeMap<OperationId, Operation>,
@@ -40,14 +40,14 @@
         operation.non_idempotent |= idempotency == Idempotency::NonIdempotent;
         operation.pieces = pieces;
         operation.open += 1;
-        self.calls.insert(call, Call { operation: id, told: None, cut_off: false });
+        self.calls.insert(call, Call { operation: id, verdict: None, cut_off: false });
     }
 
     pub(crate) fn ran(&mut self, id: OperationId, vm: VmName) -> Option<Violation> {
         let operation = self.operations.entry(id).or_default();
         operation.vms.push(vm);
-        let twice = operation.non_idempotent && operation.vms.len() > 1;
-        if twice {
+        let ran_twice = operation.non_idempotent && operation.vms.len() > 1;
+        if ran_twice {
             return Some(Violation::RanTwice { operation: id, vms: operation.vms.clone() });
         }
         (operation.open == 0).then_some(Violation::RanAfterNotRun { operation: id })
@@ -60,7 +60,7 @@
         answer: Option<&Answer>,
     ) -> Option<Violation> {
         let call = self.calls.get_mut(&id)?;
-        if call.told.replace(verdict).is_some() {
+        if call.verdict.replace(verdict).is_some() {
             return Some(Violation::ToldTwice { call: id });
         }
         let operation = self.operations.get_mut(&call.operation)?;
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Calls that never ended.
+    /// Returns a violation for each call that never completed.
     pub(crate) fn unfinished(&self) -> impl Iterator<Item = Violation> {
-        let open = self.calls.iter().filter(|(_, call)| call.told.is_none() && !call.cut_off);
+        let open = self.calls.iter().filter(|(_, call)| call.verdict.is_none() && !call.cut_off);
         open.map(|(id, _)| Violation::NeverTold { call: *id })
     }
 
@@ -95,7 +95,7 @@
         tally.runs = self.operations.values().map(|operation| operation.vms.len() as u64).sum();
         for call in self.calls.values() {
             let ran = self.operations.get(&call.operation).is_some_and(|o| !o.vms.is_empty());
-            match call.told {
+            match call.verdict {
                 Some(Verdict::Answered) => tally.answered += 1,
                 Some(Verdict::NotRun) => tally.not_run += 1,
                 Some(Verdict::MayHaveRun) => {
--- a/crates/checks/src/checker/checks.rs
+++ b/crates/checks/src/checker/checks.rs
@@ -3,7 +3,7 @@
 use crate::checker::{Bounds, Tally, Violation};
 use crate::observed::Observation;
 
-/// Holds what was observed against what must always hold.
+/// Checks observations against the invariants of the system.
 ///
 /// ```
 /// use celeryhaven_checks::{Bounds, CallId, Checks, Observation, OperationId};
@@ -27,13 +27,13 @@
 }
 
 impl Checks {
-    /// Checks that have observed nothing.
+    /// Creates checks without observations.
     pub fn new(bounds: Bounds) -> Self {
         let (calls, machines) = Default::default();
         Self { bounds, calls, machines, violations: Vec::new() }
     }
 
-    /// Takes one observation; they come in the order of the observer's clock.
+    /// Adds an observation; calls must be in the order of the observer's clock.
     pub fn observe(&mut self, observation: Observation) {
         let violation = match observation {
             Observation::Asked { call, operation, idempotency, pieces, .. } => {
@@ -72,17 +72,17 @@
         self.violations.extend(violation);
     }
 
-    /// The violations found so far.
+    /// Returns the violations found so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// All violations, with the calls that never ended.
+    /// Returns all violations, including calls that never completed.
     pub fn finish(&self) -> Vec<Violation> {
         self.violations.iter().cloned().chain(self.calls.unfinished()).collect()
     }
 
-    /// Counts and worst delays so far.
+    /// Returns the counts and worst delays so far.
     pub fn tally(&self) -> Tally {
         let mut tally = Tally {
             worst_after_loss_ms: self.machines.worst_after_loss_ms,
--- a/crates/checks/src/checker/machines.rs
+++ b/crates/checks/src/checker/machines.rs
@@ -4,7 +4,7 @@
 
 use crate::checker::{Bounds, Violation};
 
-/// Losses of machines against the requests that left for them, and placements against each other.
+/// Checks requests against the losses of VMs, and placements against each other.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Machines {
     formations: BTreeMap<(ReplicaName, Generation), Vec<VmName>>,
@@ -16,7 +16,7 @@
 }
 
 impl Machines {
-    /// A new formation starts with the members it has: earlier losses of them no longer count.
+    /// Records a formation; earlier losses of its members no longer count.
     pub(crate) fn formed(&mut self, id: (ReplicaName, Generation), vms: Vec<VmName>) {
         for vm in &vms {
             self.lost.remove(vm);
@@ -68,7 +68,7 @@
         let placed = self.placements.values().flat_map(|placement| &placement.replicas);
         let mut seen = BTreeSet::new();
         let mut vms = placed.flat_map(|replica| &replica.vms);
-        let twice = vms.find(|vm| !seen.insert((*vm).clone()))?;
-        Some(Violation::TwoReplicas { vm: twice.clone() })
+        let duplicate = vms.find(|vm| !seen.insert((*vm).clone()))?;
+        Some(Violation::TwoReplicas { vm: duplicate.clone() })
     }
 }
--- a/crates/checks/src/checker/mod.rs
+++ b/crates/checks/src/checker/mod.rs
@@ -1,4 +1,4 @@
-//! The checks, and the violations they find.
+//! The checks and their violations.
 
 mod bounds;
 mod calls;
--- a/crates/checks/src/checker/violation.rs
+++ b/crates/checks/src/checker/violation.rs
@@ -4,58 +4,58 @@
 use crate::observed::{CallId, OperationId};
 
 state! {
-    /// A promise that did not hold.
+    /// A violated guarantee.
     #[derive(Eq)]
     pub enum Violation {
-        /// A call was told that it was answered, and holds something else than its whole answer.
+        /// A call with the verdict "answered" did not receive exactly its complete answer.
         NotItsWholeAnswer {
-            /// Which call.
+            /// The call.
             call: CallId,
         },
-        /// A call was told "not run" although the operation had run.
+        /// A call got the verdict "not run" although its operation had run.
         NotRunButRan {
-            /// Which call.
+            /// The call.
             call: CallId,
         },
-        /// An operation ran after every call for it had been told "not run".
+        /// An operation ran after all of its calls had the verdict "not run".
         RanAfterNotRun {
-            /// Which operation.
+            /// The operation.
             operation: OperationId,
         },
         /// A non-idempotent operation ran more than once.
         RanTwice {
-            /// Which operation.
+            /// The operation.
             operation: OperationId,
-            /// Where it ran, in order.
+            /// The VMs that ran it, in order.
             vms: Vec<VmName>,
         },
         /// A call got a second final answer.
         ToldTwice {
-            /// Which call.
+            /// The call.
             call: CallId,
         },
-        /// A call got neither a final answer nor a broken connection.
+        /// A call got no final answer, and its connection was not lost.
         NeverTold {
-            /// Which call.
+            /// The call.
             call: CallId,
         },
-        /// A request left for a replica too long after a member of it was lost.
+        /// A request was sent to a replica too long after the loss of a member.
         SentAfterLoss {
             /// The replica.
             replica: ReplicaName,
             /// The lost member.
             vm: VmName,
-            /// How long after the loss.
+            /// Time since the loss, in milliseconds.
             after_ms: u64,
         },
-        /// A request left for a VM too long after the word that it leaves.
+        /// A request was sent to a VM too long after its leave notice.
         SentAfterLeaving {
             /// The VM.
             vm: VmName,
-            /// How long after.
+            /// Time since the notice, in milliseconds.
             after_ms: u64,
         },
-        /// Placements name a VM in two replicas.
+        /// A VM is placed in two replicas.
         TwoReplicas {
             /// The VM.
             vm: VmName,
--- a/crates/checks/src/lib.rs
+++ b/crates/checks/src/lib.rs
@@ -1,12 +1,12 @@
-//! Invariant checks over outcomes that callers and targets saw.
+//! Invariant checks over outcomes observed at callers and targets.
 //!
-//! A test or bench tells [`Checks`] what callers asked and were told, what targets ran, when
-//! machines were lost and what placements said. It never hears a node's own opinion of itself.
+//! A test or benchmark reports to [`Checks`] the requests and answers of callers, the runs at
+//! targets, the losses of VMs and the placements. The state that nodes report is not an input.
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`observed`] | what can be observed from outside |
-//! | [`checker`] | the checks, and the violations they find |
+//! | [`observed`] | observations from outside the system |
+//! | [`checker`] | the checks and their violations |
 
 pub mod checker;
 pub mod observed;
--- a/crates/checks/src/observed/answer.rs
+++ b/crates/checks/src/observed/answer.rs
@@ -3,25 +3,25 @@
 use crate::observed::OperationId;
 
 data! {
-    /// One piece of an answer, as its target marked it.
+    /// Part of an answer, as marked by its target.
     #[derive(Copy, Eq)]
     pub struct Piece {
-        /// The operation that the target made it for.
+        /// The operation that it answers.
         pub operation: OperationId,
-        /// Its place in the answer, from 0.
+        /// Index in the answer, from 0.
         pub index: u32,
     }
 
-    /// What a caller has of an answer that claims to be finished.
+    /// A finished answer as received by a caller.
     #[derive(Eq)]
     pub struct Answer {
-        /// The pieces in the order in which they came.
+        /// The pieces in order of receipt.
         pub pieces: Vec<Piece>,
     }
 }
 
 impl Answer {
-    /// Whether these are exactly the pieces of the operation's answer, in order.
+    /// Whether this is the complete answer to an operation.
     ///
     /// ```
     /// use celeryhaven_checks::{Answer, OperationId};
@@ -34,7 +34,7 @@
         *self == Self::whole(operation, pieces)
     }
 
-    /// The whole answer to an operation.
+    /// Returns the complete answer to an operation.
     pub fn whole(operation: OperationId, pieces: u32) -> Self {
         Self { pieces: (0..pieces).map(|index| Piece { operation, index }).collect() }
     }
--- a/crates/checks/src/observed/ids.rs
+++ b/crates/checks/src/observed/ids.rs
@@ -1,8 +1,8 @@
 use celeryhaven_derives::number;
 
 number! {
-    /// One thing a caller wants done, such as a lot update, however often it asks.
+    /// Identifies an operation of a caller, such as an update, across all its retries.
     OperationId(u64)
-    /// One call for an operation at one entry.
+    /// Identifies one call for an operation at one entry.
     CallId(u64)
 }
--- a/crates/checks/src/observed/mod.rs
+++ b/crates/checks/src/observed/mod.rs
@@ -1,4 +1,4 @@
-//! What can be observed from outside.
+//! Observations from outside the system.
 
 mod answer;
 mod ids;
--- a/crates/checks/src/observed/observation.rs
+++ b/crates/checks/src/observed/observation.rs
@@ -6,86 +6,86 @@
 use crate::observed::{Answer, CallId, OperationId};
 
 data! {
-    /// One thing seen from outside the system; all instants are of the observer's one clock.
+    /// An observation from outside the system; all times are of the observer's clock.
     pub enum Observation {
-        /// A caller asked.
+        /// A caller sent a request.
         Asked {
-            /// When.
+            /// Time of the observation.
             at: TimeMs,
             /// The call.
             call: CallId,
-            /// What it is for.
+            /// The operation that it requests.
             operation: OperationId,
-            /// Whether it may run twice.
+            /// Whether the operation may run more than once.
             idempotency: Idempotency,
-            /// Pieces of a whole answer.
+            /// Number of pieces in the complete answer.
             pieces: u32,
         },
-        /// A target began to carry an operation out.
+        /// A target began to run an operation.
         Ran {
-            /// When.
+            /// Time of the observation.
             at: TimeMs,
-            /// What.
+            /// The operation.
             operation: OperationId,
-            /// Where.
+            /// The VM that runs it.
             vm: VmName,
         },
         /// A call got its final answer.
         Told {
-            /// When.
+            /// Time of the observation.
             at: TimeMs,
             /// The call.
             call: CallId,
-            /// What it says.
+            /// The verdict.
             verdict: Verdict,
-            /// What the caller holds, if the verdict says that it was answered.
+            /// The answer, if the verdict is "answered".
             answer: Option<Answer>,
         },
-        /// A call's connection broke and the caller saw it.
+        /// The caller observed the loss of the call's connection.
         CutOff {
-            /// When.
+            /// Time of the observation.
             at: TimeMs,
             /// The call.
             call: CallId,
         },
-        /// A replica was formed of these VMs, or formed anew as another generation.
+        /// A replica was formed, or formed again with another generation.
         Formed {
             /// The replica.
             replica: ReplicaName,
-            /// Which formation.
+            /// The generation of the formation.
             generation: Generation,
             /// Its members.
             vms: Vec<VmName>,
         },
-        /// A VM died, fell silent or lost its memory.
+        /// A VM failed, became silent or lost its memory.
         Lost {
-            /// When.
+            /// Time of the observation.
             at: TimeMs,
-            /// Which.
+            /// The VM.
             vm: VmName,
         },
-        /// A silent VM is back with its memory.
+        /// A silent VM reports again, with its memory intact.
         Restored {
-            /// Which.
+            /// The VM.
             vm: VmName,
         },
-        /// The platform or an operator said that a VM leaves.
+        /// The platform or an operator announced that a VM leaves.
         Leaving {
-            /// When.
+            /// Time of the observation.
             at: TimeMs,
-            /// Which.
+            /// The VM.
             vm: VmName,
         },
-        /// A new request left an entry for a target.
+        /// An entry sent a new request to a target.
         Sent {
-            /// When.
+            /// Time of the observation.
             at: TimeMs,
-            /// The VM that takes the request.
+            /// The VM that receives the request.
             vm: VmName,
-            /// The replica it was meant for; `None` for a plain service.
+            /// The destination replica; `None` for a plain service.
             replica: Option<(ReplicaName, Generation)>,
         },
-        /// The Object API took a placement.
+        /// The Object API accepted a placement.
         Placed {
             /// The placement.
             placement: DomainPlacement,
--- a/crates/checks/tests/checks.rs
+++ b/crates/checks/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check finds what it is for, and nothing in a run where all holds.
+//! Each check reports its violation, and none in a correct run.
 
 use celeryhaven_checks::{Answer, Bounds, CallId, Checks, Observation, OperationId, Violation};
 use celeryhaven_types::{
@@ -126,7 +126,11 @@
         after_ms: 1_001,
     };
     assert_eq!(found([formed(), lost.clone(), sent(1_501)]), vec![late]);
-    assert_eq!(found([formed(), lost, formed(), sent(1_501)]), vec![], "formed anew");
+    assert_eq!(
+        found([formed(), lost, formed(), sent(1_501)]),
+        vec![],
+        "a new formation resets the loss"
+    );
 }
 
 #[test]
--- a/crates/checks/tests/guarantees.rs
+++ b/crates/checks/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! The page of guarantees names tests that exist.
+//! The guarantees page names only existing tests.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,7 +8,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Names of the form `file::function` in backticks.
+/// Returns the names of the form `file::function` in backticks.
 fn named_tests(page: &str) -> BTreeSet<(String, String)> {
     let quoted = page.split('`').skip(1).step_by(2);
     let named = quoted.filter_map(|text| text.split_once("::"));
@@ -19,9 +19,9 @@
         .collect()
 }
 
-/// Every test function of every crate and of the adapter, by its file's name.
+/// Returns all test functions of the crates and of `platform`, with the name of their file.
 fn existing_tests() -> BTreeSet<(String, String)> {
-    let crates = fs::read_dir(root().join("crates")).expect("there are crates");
+    let crates = fs::read_dir(root().join("crates")).expect("the `crates` folder is readable");
     let folders = crates.filter_map(Result::ok).map(|entry| entry.path().join("tests"));
     let folders = folders.chain([root().join("platform/tests")]);
     let files = folders.filter_map(|folder| fs::read_dir(folder).ok()).flatten();
@@ -44,17 +44,19 @@
 
 #[test]
 fn page_names_tests_that_exist() {
-    let page = fs::read_to_string(root().join("docs/GUARANTEES.md")).expect("the page is there");
+    let page = fs::read_to_string(root().join("docs/GUARANTEES.md"))
+        .expect("docs/GUARANTEES.md is readable");
     let named = named_tests(&page);
     let existing = existing_tests();
     let missing: Vec<_> = named.difference(&existing).collect();
-    assert!(missing.is_empty(), "not there: {missing:?}");
+    assert!(missing.is_empty(), "tests not found: {missing:?}");
     assert!(named.len() > 40, "the page names {} tests", named.len());
 }
 
 #[test]
 fn page_has_all_eight_promises() {
-    let page = fs::read_to_string(root().join("docs/GUARANTEES.md")).expect("the page is there");
+    let page = fs::read_to_string(root().join("docs/GUARANTEES.md"))
+        .expect("docs/GUARANTEES.md is readable");
     for number in 1..=8 {
         assert!(page.contains(&format!("\n## {number}. ")), "promise {number} is missing");
     }
--- a/crates/checks/tests/pages.rs
+++ b/crates/checks/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages for newcomers agree with the tree.
+//! Links and names in the documentation match the source tree.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,9 +12,9 @@
     fs::read_to_string(root().join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// README.md, CONTRIBUTING.md, CHANGELOG.md and every page in docs/, by path from the root.
+/// Returns the paths of README.md, CONTRIBUTING.md, CHANGELOG.md and all pages in docs/.
 fn pages() -> Vec<String> {
-    let docs = fs::read_dir(root().join("docs")).expect("there are pages");
+    let docs = fs::read_dir(root().join("docs")).expect("the `docs` folder is readable");
     let names =
         docs.filter_map(Result::ok).filter_map(|entry| entry.file_name().into_string().ok());
     let in_docs = names.filter(|name| name.ends_with(".md")).map(|name| format!("docs/{name}"));
@@ -22,33 +22,33 @@
     in_docs.chain(at_root).collect()
 }
 
-/// Targets of links to files, without fragments.
+/// Returns the targets of links to files, without fragments.
 fn links(text: &str) -> Vec<&str> {
     let after = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     let files = after.filter(|link| !link.contains("://") && !link.starts_with('#'));
     files.filter_map(|link| link.split('#').next()).collect()
 }
 
-/// Text in backticks.
+/// Returns the texts in backticks.
 fn quoted(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
 
-/// Where the glossary says that words live: the last column of each row.
+/// Returns the paths in the last column of the glossary.
 fn places(glossary: &str) -> Vec<&str> {
     let rows = glossary.lines().filter(|line| line.starts_with("| ") && line.contains('`'));
     let columns = rows.filter_map(|row| row.trim_end_matches(" |").rsplit(" | ").next());
     columns.flat_map(quoted).collect()
 }
 
-/// The first column of the README's table of crates.
+/// Returns the first column of the README's table of crates.
 fn crates_of(readme: &str) -> BTreeSet<String> {
     let after = readme.split("\n## Crates\n").nth(1).unwrap_or_default();
     let rows = after.lines().filter(|line| line.starts_with("| `"));
     rows.filter_map(|row| quoted(row).next()).map(str::to_owned).collect()
 }
 
-/// Every example of every crate, as crate and name.
+/// Returns the examples in the README's table of crates, as crate and name.
 fn examples_of(readme: &str) -> BTreeSet<(String, String)> {
     let after = readme.split("\n## Crates\n").nth(1).unwrap_or_default();
     let rows = after.lines().filter(|line| line.starts_with("| `"));
@@ -86,7 +86,7 @@
 
 #[test]
 fn readme_lists_every_crate() {
-    let folders = fs::read_dir(root().join("crates")).expect("there are crates");
+    let folders = fs::read_dir(root().join("crates")).expect("the `crates` folder is readable");
     let there: BTreeSet<String> = folders
         .filter_map(Result::ok)
         .filter(|entry| entry.path().join("Cargo.toml").exists())
--- a/crates/clock/src/boot_clock.rs
+++ b/crates/clock/src/boot_clock.rs
@@ -1,11 +1,9 @@
 use celeryhaven_types::TimeMs;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Milliseconds since this VM booted, time spent suspended included.
+/// Clock of the milliseconds since boot, including time spent suspended.
 ///
-/// Guards against a VM that is paused with a decision in hand: the monotonic clock may stand still
-/// meanwhile, so after the wake a deadline or a lease would look as far off as before, and the
-/// request would run although its caller has long been told otherwise. This clock has moved on.
+/// Unlike the monotonic clock, it makes deadlines and leases expire while the VM is suspended.
 ///
 /// ```
 /// let clock = celeryhaven_clock::BootClock;
@@ -15,12 +13,12 @@
 pub struct BootClock;
 
 impl BootClock {
-    /// The time now.
+    /// Returns the current time.
     pub fn now(self) -> TimeMs {
         TimeMs::new(millis(ClockId::Boottime))
     }
 
-    /// CPU time that the calling thread has used, in milliseconds.
+    /// Returns the CPU time of the calling thread, in milliseconds.
     pub fn thread_cpu_ms(self) -> u64 {
         millis(ClockId::ThreadCPUTime)
     }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,4 @@
-//! A clock that counts time spent suspended.
+//! Clocks: time since boot, including suspension, and wall-clock time.
 
 mod boot_clock;
 mod unix;
--- a/crates/derives/src/lib.rs
+++ b/crates/derives/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! - [`data!`]: a struct or enum that crosses a process boundary.
 //! - [`state!`]: a struct or enum that stays inside one process.
-//! - [`name!`]: a shared string that names one thing.
-//! - [`number!`]: a small `Copy` number with a meaning of its own.
+//! - [`name!`]: a shared string newtype for names.
+//! - [`number!`]: a `Copy` newtype of a number.
 //!
 //! The calling crate needs `serde` among its dependencies for all but [`state!`].
 
-/// Derives what a type needs to cross a process boundary.
+/// Derives the traits of types that cross a process boundary.
 ///
 /// Each item gets `Clone`, `Debug`, `PartialEq`, `Serialize` and `Deserialize`. Further derives
 /// and container attributes stay on the item itself.
@@ -34,13 +34,13 @@
     };
 }
 
-/// Derives what a type needs that never leaves its process: `Clone`, `Debug`, `PartialEq`.
+/// Derives the traits of types that stay inside one process: `Clone`, `Debug`, `PartialEq`.
 ///
 /// ```
 /// celeryhaven_derives::state! {
-///     /// One waiting entry.
+///     /// An entry in a queue.
 ///     pub struct Waiting {
-///         /// When it began to wait.
+///         /// Time of arrival.
 ///         pub since_ms: u64,
 ///     }
 /// }
@@ -56,7 +56,7 @@
     };
 }
 
-/// Defines a shared, cheaply cloned string that names one thing.
+/// Defines a newtype of a shared string, for names; cloning is cheap.
 ///
 /// ```
 /// celeryhaven_derives::name! {
@@ -78,12 +78,12 @@
             pub struct $name(::std::sync::Arc<str>);
 
             impl $name {
-                /// Wraps a name as written in configuration.
+                /// Creates a name from its text.
                 pub fn new(name: impl Into<::std::sync::Arc<str>>) -> Self {
                     Self(name.into())
                 }
 
-                /// The name as written.
+                /// Returns the name as text.
                 pub fn as_str(&self) -> &str {
                     &self.0
                 }
@@ -98,7 +98,7 @@
     };
 }
 
-/// Defines a small `Copy` number with a meaning of its own.
+/// Defines a `Copy` newtype of a number.
 ///
 /// ```
 /// celeryhaven_derives::number! {
@@ -121,17 +121,17 @@
             pub struct $name($inner);
 
             impl $name {
-                /// Wraps the plain number.
+                /// Creates a value from a number.
                 pub const fn new(value: $inner) -> Self {
                     Self(value)
                 }
 
-                /// The plain number.
+                /// Returns the number.
                 pub const fn get(self) -> $inner {
                     self.0
                 }
 
-                /// The number after this one; the largest stays the largest.
+                /// Returns the next value, saturating at the maximum.
                 pub const fn next(self) -> Self {
                     Self(self.0.saturating_add(1))
                 }
--- a/crates/entry/src/control/carrier.rs
+++ b/crates/entry/src/control/action_executor.rs
@@ -8,19 +8,19 @@
 
 use crate::control::reads::Reader;
 use crate::control::{Calls, ControlHandle};
-use crate::exchange::{AnswerPart, KeptAnswers, Registry};
+use crate::exchange::{AnswerCache, AnswerPart, Registry};
 use crate::forward::{Forwarder, Target};
 use crate::peer::Peers;
 
-/// Carries out what the state machine wants; waits for nothing itself.
+/// Executes the actions of the state machine without blocking.
 ///
-/// Requests go to the traffic threads. Calls to the Object API, polls and messages to peers go to
-/// an executor of their own, so that they are not behind callers' requests.
+/// Requests run on the traffic threads. Calls to the Object API, polls and messages to peers run on
+/// a separate executor, so that they do not queue behind callers' requests.
 #[derive(Clone)]
-pub(crate) struct Carrier {
+pub(crate) struct ActionExecutor {
     pub(crate) control: ControlHandle,
     pub(crate) registry: Arc<Registry>,
-    pub(crate) kept: Arc<KeptAnswers>,
+    pub(crate) answers: Arc<AnswerCache>,
     pub(crate) forwarder: Forwarder,
     pub(crate) store: StoreClient,
     pub(crate) reader: Reader,
@@ -28,9 +28,9 @@
     pub(crate) calls: Calls,
 }
 
-impl Carrier {
-    /// Begins an action.
-    pub(crate) fn carry_out(&self, action: EntryAction) {
+impl ActionExecutor {
+    /// Starts an action.
+    pub(crate) fn execute(&self, action: EntryAction) {
         match action {
             EntryAction::Dispatch {
                 ticket,
@@ -51,9 +51,9 @@
                 }
             }
             EntryAction::Refuse { ticket, refusal } => self.refuse(ticket, refusal),
-            EntryAction::PassOn { ticket, to, address } => self.pass_on(ticket, to, address),
+            EntryAction::PassOn { ticket, to, address } => self.delegate(ticket, to, address),
             EntryAction::Replay { ticket, of } => self.replay(ticket, of),
-            EntryAction::Forget { ticket } => self.kept.forget(ticket),
+            EntryAction::Forget { ticket } => self.answers.remove(ticket),
             EntryAction::Poll { vm, address } => self.reader.poll(vm, address),
             EntryAction::ReadVmList => self.reader.read_vm_list(),
             EntryAction::SendPeer { address, message } => self.peers.send(address, &message),
@@ -63,7 +63,7 @@
                 smol::spawn(async move {
                     let reply = store.call(&request).await;
                     calls.count_store(&reply);
-                    control.control(EntryEvent::Store { call, reply });
+                    control.send_control(EntryEvent::Store { call, reply });
                 })
                 .detach();
             }
@@ -77,23 +77,23 @@
         }
     }
 
-    fn pass_on(&self, ticket: Ticket, to: Incarnation, address: SocketAddr) {
+    fn delegate(&self, ticket: Ticket, to: Incarnation, address: SocketAddr) {
         if let Some(exchange) = self.registry.get(ticket) {
             self.forwarder.metrics.delegated.inc();
-            self.peers.pass_on(exchange, to, address);
+            self.peers.delegate(exchange, to, address);
         }
     }
 
-    /// Gives a request the kept answer of another one with its key.
+    /// Answers a request with the cached answer of an earlier one with the same key.
     fn replay(&self, ticket: Ticket, of: Ticket) {
         let Some(exchange) = self.registry.get(ticket) else { return };
-        let Some(answer) = self.kept.get(of) else {
+        let Some(answer) = self.answers.get(of) else {
             return exchange.refuse(Refusal::may_have_run(RefusalCode::AnswerLost));
         };
         async_global_executor::spawn(async move {
             exchange.deliver(AnswerPart::Head(answer.head)).await;
             exchange.deliver(AnswerPart::Data(answer.body)).await;
-            exchange.finish_unkept();
+            exchange.finish_uncached();
         })
         .detach();
     }
--- a/crates/entry/src/control/calls.rs
+++ b/crates/entry/src/control/calls.rs
@@ -2,7 +2,7 @@
 use celeryhaven_telemetry::metrics::{DirectionLabel, OutcomeLabel};
 use celeryhaven_types::store::StoreReply;
 
-/// Counts calls to members and to the platform, by outcome.
+/// Counters of calls to members and to the platform, by outcome.
 #[derive(Clone)]
 pub(crate) struct Calls(ProcessMetrics);
 
@@ -11,7 +11,7 @@
         Self(metrics)
     }
 
-    /// Counts a call that was answered, or not.
+    /// Counts a call as answered or failed.
     pub(crate) fn count(&self, call: &'static str, answered: bool) {
         self.add(call, if answered { "answered" } else { "failed" });
     }
@@ -28,7 +28,7 @@
         self.count_received(value_bytes(reply));
     }
 
-    /// Counts bytes that members or the platform sent, heads left out.
+    /// Counts bytes received from members or the platform, without HTTP headers.
     pub(crate) fn count_received(&self, bytes: usize) {
         let label = DirectionLabel { direction: "received" };
         self.0.control_bytes.get_or_create(&label).inc_by(bytes as u64);
--- a/crates/entry/src/control/control_loop.rs
+++ b/crates/entry/src/control/control_loop.rs
@@ -5,62 +5,62 @@
 use celeryhaven_telemetry::EntryMetrics;
 use celeryhaven_types::{ConfigNumber, TimeMs};
 
-use crate::control::{Carrier, ControlHandle, Message, Query, View};
+use crate::control::{ActionExecutor, ControlHandle, Message, Query, View};
 use celeryhaven_clock::BootClock;
 
-/// How late a tick may begin before it counts as late, in milliseconds.
-const LATE_MS: u64 = 20;
-/// How often figures are noted, in milliseconds.
-const NOTE_MS: u64 = 250;
+/// Delay from which a tick counts as late, in milliseconds.
+const LATE_TICK_THRESHOLD_MS: u64 = 20;
+/// Interval between updates of the metrics, in milliseconds.
+const METRICS_INTERVAL_MS: u64 = 250;
 
-/// Drives the state machine: waits for messages and time, carries out what the machine wants.
+/// Drives the state machine: passes it messages and ticks, and executes its actions.
 pub(crate) struct ControlLoop<P> {
     node: EntryNode<P>,
     handle: ControlHandle,
-    carrier: Carrier,
+    action_executor: ActionExecutor,
     metrics: EntryMetrics,
     clock: BootClock,
     actions: Vec<EntryAction>,
     published: Option<(bool, Option<ConfigNumber>)>,
     cpu_ms: u64,
-    noted_at: TimeMs,
-    ended: bool,
+    metrics_updated_at: TimeMs,
+    stopped: bool,
 }
 
 impl<P: RequestPolicy> ControlLoop<P> {
     pub(crate) fn new(
         node: EntryNode<P>,
         handle: ControlHandle,
-        carrier: Carrier,
+        action_executor: ActionExecutor,
         metrics: EntryMetrics,
     ) -> Self {
         Self {
             node,
             handle,
-            carrier,
+            action_executor,
             metrics,
             clock: BootClock,
             actions: Vec::new(),
             published: None,
             cpu_ms: 0,
-            noted_at: TimeMs::new(0),
-            ended: false,
+            metrics_updated_at: TimeMs::new(0),
+            stopped: false,
         }
     }
 
-    /// Runs until the node has left or the thread is told to stop.
+    /// Runs until the node has left or a stop is requested.
     pub(crate) fn run(mut self) {
         let mut messages = Vec::new();
-        while !self.ended {
+        while !self.stopped {
             self.tick_if_due();
             let wait = self.node.next_wake().map(|at| at.since(self.clock.now()));
             let handle = self.handle.clone();
             handle.mailbox().take(wait.map(Duration::from_millis), &mut messages);
             for message in messages.drain(..) {
-                self.take(message);
+                self.handle_message(message);
                 self.tick_if_due();
             }
-            self.note();
+            self.update_metrics();
         }
         self.handle.mailbox().close();
     }
@@ -70,18 +70,18 @@
         let Some(due) = self.node.next_wake().filter(|due| *due <= now) else { return };
         self.metrics.process.control_ticks.inc();
         // The first tick is due at the clock's zero, long before the process began.
-        if due.get() > 0 && now.since(due) > LATE_MS {
+        if due.get() > 0 && now.since(due) > LATE_TICK_THRESHOLD_MS {
             self.metrics.process.control_ticks_late.inc();
         }
-        self.hear(now, EntryEvent::Tick);
+        self.handle_event(now, EntryEvent::Tick);
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
         match message {
-            // The exchange lives until the actions are carried out: one of them may send it on.
+            // The exchange must outlive the actions: one of them may dispatch it.
             Message::Event { event, exchange } => {
-                self.hear(now, event);
+                self.handle_event(now, event);
                 drop(exchange);
             }
             Message::Query(Query::Addresses { data_centre, answer }) => {
@@ -90,18 +90,18 @@
             Message::Query(Query::Keys { organisation, count, answer }) => {
                 let _ = answer.try_send(self.node.issue_keys(now, &organisation, count));
             }
-            Message::Query(Query::Stop) => self.ended = true,
+            Message::Query(Query::Stop) => self.stopped = true,
         }
     }
 
-    fn hear(&mut self, now: TimeMs, event: EntryEvent) {
+    fn handle_event(&mut self, now: TimeMs, event: EntryEvent) {
         self.metrics.process.control_events.inc();
         self.node.handle(now, event, &mut self.actions);
-        // Before the actions: those who carry them out look at the configuration in force.
+        // Before the actions, because they read the configuration in force.
         self.publish();
         for action in self.actions.drain(..) {
-            self.ended |= action == EntryAction::Left;
-            self.carrier.carry_out(action);
+            self.stopped |= action == EntryAction::Left;
+            self.action_executor.execute(action);
         }
     }
 
@@ -116,13 +116,13 @@
         self.handle.publish(View::new(current.0, self.node.config()));
     }
 
-    fn note(&mut self) {
+    fn update_metrics(&mut self) {
         let now = self.clock.now();
-        let since_ms = now.since(self.noted_at);
-        if since_ms < NOTE_MS {
+        let since_ms = now.since(self.metrics_updated_at);
+        if since_ms < METRICS_INTERVAL_MS {
             return;
         }
-        let first = std::mem::replace(&mut self.noted_at, now).get() == 0;
+        let first = std::mem::replace(&mut self.metrics_updated_at, now).get() == 0;
         let cpu_ms = self.clock.thread_cpu_ms();
         self.metrics.process.control_cpu.inc_by((cpu_ms - self.cpu_ms) as f64 / 1_000.0);
         self.cpu_ms = cpu_ms;
--- a/crates/entry/src/control/handle.rs
+++ b/crates/entry/src/control/handle.rs
@@ -6,7 +6,7 @@
 use crate::control::{Mailbox, Message, Query, View};
 use crate::exchange::Exchange;
 
-/// How other threads reach the control thread.
+/// Handle through which other threads reach the control thread.
 #[derive(Clone, Default)]
 pub(crate) struct ControlHandle {
     mailbox: Arc<Mailbox>,
@@ -14,22 +14,22 @@
 }
 
 impl ControlHandle {
-    /// Tells of something about control.
-    pub(crate) fn control(&self, event: EntryEvent) {
+    /// Sends a control event.
+    pub(crate) fn send_control(&self, event: EntryEvent) {
         self.mailbox.push_control(Message::Event { event, exchange: None });
     }
 
-    /// Tells of something about a caller's request.
-    pub(crate) fn traffic(&self, event: EntryEvent, exchange: Option<Arc<Exchange>>) {
+    /// Sends an event of a caller's request.
+    pub(crate) fn send_traffic(&self, event: EntryEvent, exchange: Option<Arc<Exchange>>) {
         self.mailbox.push_traffic(Message::Event { event, exchange });
     }
 
-    /// Asks without waiting for an answer.
-    pub(crate) fn tell(&self, query: Query) {
+    /// Sends a query without waiting for an answer.
+    pub(crate) fn send_query(&self, query: Query) {
         self.mailbox.push_control(Message::Query(query));
     }
 
-    /// Which entries a caller should use; `None` if the control thread has ended.
+    /// Returns the entries that a caller should use; `None` if the control thread has ended.
     pub(crate) async fn addresses(
         &self,
         data_centre: Option<DataCentreName>,
@@ -40,7 +40,7 @@
         answered.recv().await.ok()
     }
 
-    /// Request keys for an organisation; `None` if the control thread has ended.
+    /// Returns request keys for an organisation; `None` if the control thread has ended.
     pub(crate) async fn keys(
         &self,
         organisation: OrganisationName,
@@ -52,7 +52,7 @@
         answered.recv().await.ok()
     }
 
-    /// What the control thread last published.
+    /// Returns the latest published view.
     pub(crate) fn view(&self) -> Arc<View> {
         self.view.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/entry/src/control/mailbox.rs
+++ b/crates/entry/src/control/mailbox.rs
@@ -7,20 +7,16 @@
 
 use crate::control::Message;
 
-/// Messages of traffic taken before the control thread looks at the time and at control again.
-///
-/// Made for 8,200 requests a second with some four messages each, on one node: 64 messages are two
-/// milliseconds of them. Without the bound a burst of arrivals would hold back store answers, polls
-/// and the order to leave for as long as it lasts.
-const TRAFFIC_BATCH: usize = 64;
+/// Traffic messages per batch; bounds how long a burst of requests delays control messages.
+const TRAFFIC_BATCH_MAX: usize = 64;
 
-/// Messages for the control thread; those of control go before those of traffic.
+/// Queue of messages for the control thread; control messages go before traffic messages.
 ///
-/// The thread waits on a condition variable, not on an executor that traffic keeps busy.
+/// Uses a condition variable, because an executor may be busy with traffic.
 #[derive(Default)]
 pub(crate) struct Mailbox {
     queues: Mutex<Queues>,
-    filled: Condvar,
+    not_empty: Condvar,
 }
 
 #[derive(Default)]
@@ -31,49 +27,48 @@
 }
 
 impl Mailbox {
-    /// Adds a message about control.
+    /// Adds a control message.
     pub(crate) fn push_control(&self, message: Message) {
         self.push(message, |queues| &mut queues.control);
     }
 
-    /// Adds a message about a caller's request.
+    /// Adds a traffic message.
     pub(crate) fn push_traffic(&self, message: Message) {
         self.push(message, |queues| &mut queues.traffic);
     }
 
-    /// Takes all messages of control and a batch of those of traffic; waits if there are none.
+    /// Takes all control messages and a batch of traffic messages; waits while there are none.
     pub(crate) fn take(&self, wait: Option<Duration>, out: &mut Vec<Message>) {
         let mut queues = self.lock();
         if queues.is_empty() {
             queues = self.wait(queues, wait);
         }
         out.extend(queues.control.drain(..));
-        let batch = queues.traffic.len().min(TRAFFIC_BATCH);
+        let batch = queues.traffic.len().min(TRAFFIC_BATCH_MAX);
         out.extend(queues.traffic.drain(..batch));
     }
 
-    /// Takes nothing more, once the control thread has ended.
+    /// Closes the mailbox and drops its messages, after the control thread has stopped.
     ///
-    /// Guards against callers that wait without end, and a process that never exits: a message that
-    /// came after the last look would hold its asker's channel open for ever. Dropped, it ends the
-    /// wait; a request among them was seen by nobody, so it is refused as not run.
+    /// Dropping a query closes its reply channel, so that its sender does not wait indefinitely.
+    /// New requests are refused as not run.
     pub(crate) fn close(&self) {
         let mut queues = self.lock();
         queues.closed = true;
         let control = std::mem::take(&mut queues.control);
         let traffic = std::mem::take(&mut queues.traffic);
         drop(queues);
-        control.into_iter().chain(traffic).for_each(turn_away);
+        control.into_iter().chain(traffic).for_each(reject);
     }
 
     fn push(&self, message: Message, queue: fn(&mut Queues) -> &mut VecDeque<Message>) {
         let mut queues = self.lock();
         if queues.closed {
             drop(queues);
-            return turn_away(message);
+            return reject(message);
         }
         queue(&mut queues).push_back(message);
-        self.filled.notify_one();
+        self.not_empty.notify_one();
     }
 
     fn wait<'a>(
@@ -82,9 +77,9 @@
         wait: Option<Duration>,
     ) -> MutexGuard<'a, Queues> {
         match wait {
-            None => self.filled.wait(queues).unwrap_or_else(PoisonError::into_inner),
+            None => self.not_empty.wait(queues).unwrap_or_else(PoisonError::into_inner),
             Some(wait) => {
-                let waited = self.filled.wait_timeout(queues, wait);
+                let waited = self.not_empty.wait_timeout(queues, wait);
                 waited.unwrap_or_else(PoisonError::into_inner).0
             }
         }
@@ -101,7 +96,7 @@
     }
 }
 
-fn turn_away(message: Message) {
+fn reject(message: Message) {
     if let Message::Event { event: EntryEvent::Arrived { .. }, exchange: Some(exchange) } = message
     {
         exchange.refuse(Refusal::not_run(RefusalCode::NodeUnavailable));
--- a/crates/entry/src/control/message.rs
+++ b/crates/entry/src/control/message.rs
@@ -6,37 +6,37 @@
 
 use crate::exchange::Exchange;
 
-/// What the control thread is told.
+/// A message to the control thread.
 pub(crate) enum Message {
-    /// Something happened.
+    /// An event for the state machine.
     Event {
-        /// What.
+        /// The event.
         event: EntryEvent,
-        /// The exchange it is about, kept alive until the event's actions are carried out.
+        /// Its exchange, kept alive until the event's actions are executed.
         exchange: Option<Arc<Exchange>>,
     },
-    /// Somebody asks.
+    /// A query.
     Query(Query),
 }
 
-/// What the control thread is asked.
+/// A query to the control thread.
 pub(crate) enum Query {
-    /// Which entries a caller should use.
+    /// The entries that a caller should use.
     Addresses {
-        /// Of which data centre.
+        /// Data centre to prefer.
         data_centre: Option<DataCentreName>,
-        /// Where the answer goes.
+        /// Reply channel.
         answer: Sender<AddressAnswer>,
     },
     /// Request keys for an organisation.
     Keys {
-        /// Whose.
+        /// The organisation.
         organisation: OrganisationName,
-        /// How many.
+        /// Number of keys.
         count: u64,
-        /// Where the answer goes.
+        /// Reply channel.
         answer: Sender<KeyAnswer>,
     },
-    /// End the thread without leaving.
+    /// Stop the thread without leaving.
     Stop,
 }
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The thread that drives the node's state machine.
+//! Control thread: drives the node's state machine.
 
+mod action_executor;
 mod calls;
-mod carrier;
 mod control_loop;
 mod handle;
 mod mailbox;
@@ -9,8 +9,8 @@
 mod reads;
 mod view;
 
+pub(crate) use action_executor::ActionExecutor;
 pub(crate) use calls::Calls;
-pub(crate) use carrier::Carrier;
 pub(crate) use control_loop::ControlLoop;
 pub(crate) use handle::ControlHandle;
 pub(crate) use mailbox::Mailbox;
--- a/crates/entry/src/control/reads.rs
+++ b/crates/entry/src/control/reads.rs
@@ -14,9 +14,9 @@
 
 use crate::control::{Calls, ControlHandle};
 
-/// Largest status of a member that is read, in bytes.
+/// Maximum size of a member status, in bytes.
 const STATUS_BYTES_MAX: u64 = 64 << 10;
-/// Largest VM list that is read, in bytes: some 4,000 VMs.
+/// Maximum size of a VM list, in bytes; enough for some 4,000 VMs.
 const VM_LIST_BYTES_MAX: u64 = 4 << 20;
 
 #[derive(Deserialize)]
@@ -42,8 +42,7 @@
         Self {
             control,
             calls,
-            // A poll has a connection of its own: the answer to one that timed out can never be
-            // read as the answer to the next, and a member that came back is met anew.
+            // One connection per poll: a late answer must not be read as the answer to the next.
             members: Client::new(config).without_keepalive(),
             platform: Client::new(config).without_keepalive(),
             vm_list: settings.vm_list,
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Asks a member for its status.
+    /// Polls the status of a member.
     pub(crate) fn poll(&self, vm: VmName, address: SocketAddr) {
         let reader = self.clone();
         smol::spawn(async move {
@@ -63,24 +62,23 @@
             reader.calls.count("poll", report.is_some());
             let outcome = report.map_or(PollOutcome::Failed, PollOutcome::Reported);
             let took_ms = u64::try_from(began.elapsed().as_millis()).unwrap_or(u64::MAX);
-            reader.control.control(EntryEvent::Polled { vm, took_ms, outcome });
+            reader.control.send_control(EntryEvent::Polled { vm, took_ms, outcome });
         })
         .detach();
     }
 
-    /// What a member reports; of a plain service only that it takes connections.
+    /// Reads the report of a member; for a plain service only checks that it accepts connections.
     ///
-    /// Plain services have no status of their own in the protocol, and a path that is made up here
-    /// would be a call that they run.
+    /// The protocol defines no status path for plain services; any request would be a call.
     async fn report(&self, vm: &VmName, address: SocketAddr, plain: bool) -> Option<MemberReport> {
         if plain {
-            return TcpStream::connect(address).await.ok().map(|_| alive(vm));
+            return TcpStream::connect(address).await.ok().map(|_| reachable_report(vm));
         }
         let url = format!("http://{address}/status");
         get(&self.members, url, STATUS_BYTES_MAX, &self.calls).await
     }
 
-    /// Reads the VM list; one that cannot be read changes nothing.
+    /// Reads the VM list; a failed read changes nothing.
     pub(crate) fn read_vm_list(&self) {
         let reader = self.clone();
         smol::spawn(async move {
@@ -89,15 +87,15 @@
             let list = within(reader.platform_timeout, reading).await;
             reader.calls.count("vm_list", list.is_some());
             if let Some(list) = list {
-                reader.control.control(EntryEvent::VmList { entries: list.vms });
+                reader.control.send_control(EntryEvent::VmList { entries: list.vms });
             }
         })
         .detach();
     }
 }
 
-/// The report of a VM of which only is known that it takes connections.
-fn alive(vm: &VmName) -> MemberReport {
+/// Returns the report of a VM that accepts connections and has no status.
+fn reachable_report(vm: &VmName) -> MemberReport {
     MemberReport {
         vm: vm.clone(),
         boot: Boot::default(),
--- a/crates/entry/src/control/view.rs
+++ b/crates/entry/src/control/view.rs
@@ -2,10 +2,10 @@
     Config, ConfigNumber, Map, Organisation, PlainService, ServiceName, VmName,
 };
 
-/// What traffic threads need of the control state, replaced as a whole when it changes.
+/// Snapshot of the control state for the traffic threads.
 #[derive(Default)]
 pub(crate) struct View {
-    /// Whether the node takes new requests and wants callers.
+    /// Whether the node accepts new requests.
     pub(crate) ready: bool,
     config: Option<Config>,
     by_key_hash: Map<String, usize>,
@@ -20,12 +20,12 @@
         Self { ready, by_key_hash: keys.collect(), config: config.cloned() }
     }
 
-    /// The number of the configuration in force.
+    /// Returns the number of the configuration in force.
     pub(crate) fn config_number(&self) -> Option<ConfigNumber> {
         self.config.as_ref().map(|config| config.number)
     }
 
-    /// The organisation that an API key belongs to, by the key's SHA-256 in lowercase hexadecimal.
+    /// Returns the organisation of an API key, by its SHA-256 in lowercase hexadecimal.
     pub(crate) fn organisation(&self, key_sha256: &str) -> Option<&Organisation> {
         let index = self.by_key_hash.get(key_sha256)?;
         self.config.as_ref()?.intent.organisations.get(*index)
@@ -37,7 +37,7 @@
         services.flat_map(|service| &service.targets).any(|target| target.vm == *vm)
     }
 
-    /// The plain service with this name.
+    /// Returns the plain service with this name.
     pub(crate) fn service(&self, name: &ServiceName) -> Option<&PlainService> {
         self.config.as_ref()?.intent.services.iter().find(|service| service.name == *name)
     }
--- a/crates/entry/src/exchange/answer.rs
+++ b/crates/entry/src/exchange/answer.rs
@@ -5,33 +5,33 @@
     /// The head of an answer.
     #[serde(deny_unknown_fields)]
     pub(crate) struct AnswerHead {
-        /// The request that the answer is to.
+        /// Identity of the request.
         pub(crate) request_id: RequestId,
         /// HTTP status.
         pub(crate) status: u16,
-        /// Headers that go along.
+        /// Headers forwarded with the answer.
         pub(crate) headers: Vec<(String, String)>,
-        /// Who answered.
+        /// Replica that answered.
         pub(crate) replica: Option<ReplicaName>,
-        /// Whether the body goes out piece by piece.
+        /// Whether the body is streamed.
         pub(crate) streamed: bool,
     }
 
-    /// A piece of an answer.
+    /// Part of an answer.
     #[serde(rename_all = "snake_case")]
     pub(crate) enum AnswerPart {
-        /// Comes first, and once.
+        /// Sent once, before any data.
         Head(AnswerHead),
-        /// A piece of the body.
+        /// Bytes of the body.
         Data(Vec<u8>),
     }
 
-    /// How an answer ended.
+    /// Result of an answer.
     #[serde(rename_all = "snake_case")]
     pub(crate) enum End {
-        /// It is whole.
+        /// The answer is complete.
         Whole,
-        /// There is none, or it broke.
+        /// There is no answer, or it was interrupted.
         Refused(Refusal),
     }
 }
--- a/crates/entry/src/exchange/registry.rs
+++ b/crates/entry/src/exchange/registry.rs
@@ -6,10 +6,9 @@
 
 use crate::exchange::Exchange;
 
-/// Every exchange of this process by its ticket.
+/// All exchanges of this process by ticket, as weak references.
 ///
-/// It holds none of them alive: an exchange ends when neither its caller, nor an attempt, nor a
-/// message to the control thread holds it any more, so no path can leak one.
+/// An exchange is dropped with its last owner: its caller, an attempt or a control message.
 #[derive(Default)]
 pub(crate) struct Registry {
     last: AtomicU64,
@@ -17,17 +16,17 @@
 }
 
 impl Registry {
-    /// A ticket that was never given before.
+    /// Returns a ticket that is unique in this process.
     pub(crate) fn next_ticket(&self) -> Ticket {
         Ticket::new(self.last.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// Notes an exchange.
+    /// Adds an exchange.
     pub(crate) fn insert(&self, exchange: &Arc<Exchange>) {
         self.lock().insert(exchange.ticket(), Arc::downgrade(exchange));
     }
 
-    /// The exchange of a ticket, if it has not ended.
+    /// Returns the exchange of a ticket, if it is still alive.
     pub(crate) fn get(&self, ticket: Ticket) -> Option<Arc<Exchange>> {
         self.lock().get(&ticket)?.upgrade()
     }
--- a/crates/entry/src/exchange/request.rs
+++ b/crates/entry/src/exchange/request.rs
@@ -2,7 +2,7 @@
 use celeryhaven_types::RequestId;
 
 data! {
-    /// What kind of answer a request wants.
+    /// Kind of answer that a request expects.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub(crate) enum RequestKind {
@@ -10,24 +10,24 @@
         StreamedCompletion,
         /// A completion in one piece.
         WholeCompletion,
-        /// Whatever a plain service answers.
+        /// The answer of a plain service, unchanged.
         Plain,
     }
 
-    /// A caller's request as it goes to a target.
+    /// A caller's request as sent to a target.
     #[serde(deny_unknown_fields)]
     pub(crate) struct ForwardRequest {
-        /// Identity that the target echoes.
+        /// Request ID that the target echoes.
         pub(crate) id: RequestId,
-        /// What answer it wants.
+        /// Expected kind of answer.
         pub(crate) kind: RequestKind,
         /// HTTP method.
         pub(crate) method: String,
-        /// Path and query at the target.
+        /// Path and query.
         pub(crate) path: String,
-        /// Headers that go along.
+        /// Headers forwarded with the request.
         pub(crate) headers: Vec<(String, String)>,
-        /// The body as it came.
+        /// The body as received.
         pub(crate) body: Vec<u8>,
     }
 }
--- a/crates/entry/src/exchange/state.rs
+++ b/crates/entry/src/exchange/state.rs
@@ -5,27 +5,26 @@
 use celeryhaven_policy::Ticket;
 use celeryhaven_types::{Idempotency, Refusal, RequestHead, TimeMs};
 
-use crate::exchange::{AnswerPart, End, ForwardRequest, KeptAnswer, KeptAnswers, Registry};
+use crate::exchange::{AnswerCache, AnswerPart, CachedAnswer, End, ForwardRequest, Registry};
 
-/// Pieces of an answer that wait for the caller; a slow caller holds its target back beyond that.
-const WAITING_PARTS: usize = 64;
+/// Answer parts buffered for the caller; a full buffer applies backpressure to the target.
+const PENDING_PARTS_MAX: usize = 64;
 
-/// Largest answer that is recorded for a repeated key, in bytes.
+/// Maximum size of an answer recorded for a repeated key, in bytes.
 ///
-/// Made for updates, whose answers are short. A longer one would be held whole for each keyed
-/// request; without a record a repeated key is told "may have run".
+/// A repeated key without a recorded answer gets "may have run".
 const RECORDED_BYTES_MAX: usize = 1 << 20;
 
-/// One request between its caller's task, the control thread and its attempts.
+/// A request, shared by its caller's task, the control thread and its attempts.
 pub(crate) struct Exchange {
     ticket: Ticket,
-    /// What goes to a target.
+    /// The request as sent to a target.
     pub(crate) request: ForwardRequest,
-    /// What the control thread knows of it.
+    /// The request as the control thread sees it.
     pub(crate) head: RequestHead,
-    /// The key that the caller presented.
+    /// Idempotency key of the caller.
     pub(crate) key: Option<String>,
-    /// When it arrived.
+    /// Time of arrival.
     pub(crate) arrived_at: TimeMs,
     registry: Arc<Registry>,
     parts: Sender<AnswerPart>,
@@ -37,7 +36,7 @@
     end: Option<End>,
     running: Option<Running>,
     dispatched: bool,
-    headed: bool,
+    head_claimed: bool,
     recorded: Option<Vec<AnswerPart>>,
     recorded_bytes: usize,
 }
@@ -48,7 +47,7 @@
 }
 
 impl Exchange {
-    /// An exchange and the pieces of its answer; pieces end when [`Exchange::end`] says how.
+    /// Creates an exchange and its answer channel; [`Exchange::end`] is set when that closes.
     pub(crate) fn new(
         registry: Arc<Registry>,
         arrived_at: TimeMs,
@@ -56,7 +55,7 @@
         head: RequestHead,
         key: Option<String>,
     ) -> (Arc<Self>, Receiver<AnswerPart>) {
-        let (parts, received) = async_channel::bounded(WAITING_PARTS);
+        let (parts, received) = async_channel::bounded(PENDING_PARTS_MAX);
         let guarded = key.is_some() && head.idempotency == Idempotency::NonIdempotent;
         let recorded = guarded.then(Vec::new);
         let state = Mutex::new(State { recorded, ..State::default() });
@@ -71,46 +70,46 @@
         self.ticket
     }
 
-    /// Hands a piece of the answer to the caller; waits while the caller is slow.
+    /// Forwards an answer part to the caller; waits while the buffer is full.
     ///
-    /// A caller that has gone away takes no pieces, but they are recorded for a repeated key.
+    /// Parts for a disconnected caller are still recorded for a repeated key.
     pub(crate) async fn deliver(&self, part: AnswerPart) {
         self.record(&part);
         let _ = self.parts.send(part).await;
     }
 
-    /// Whether the head is still to be delivered; says so once.
+    /// Whether the head is still to be delivered; true once.
     ///
-    /// A stream that goes on at another target after a break has its head already.
-    pub(crate) fn take_head_turn(&self) -> bool {
-        !std::mem::replace(&mut self.lock().headed, true)
+    /// A stream that is resumed at another target already has its head.
+    pub(crate) fn claim_head(&self) -> bool {
+        !std::mem::replace(&mut self.lock().head_claimed, true)
     }
 
-    /// Ends the answer as whole, and keeps it if a key may be repeated.
-    pub(crate) fn finish(&self, kept: &KeptAnswers) {
+    /// Completes the answer, and caches it if its key may be repeated.
+    pub(crate) fn finish(&self, answers: &AnswerCache) {
         let recorded = self.lock().recorded.take();
-        if let Some(answer) = recorded.and_then(KeptAnswer::of_parts) {
-            kept.keep(self.ticket, answer);
+        if let Some(answer) = recorded.and_then(CachedAnswer::of_parts) {
+            answers.insert(self.ticket, answer);
         }
         self.end_with(End::Whole);
     }
 
-    /// Ends the answer as whole; another request, or another node, keeps it.
-    pub(crate) fn finish_unkept(&self) {
+    /// Completes the answer without caching it; another request or node has it cached.
+    pub(crate) fn finish_uncached(&self) {
         self.end_with(End::Whole);
     }
 
-    /// Ends the answer as refused or broken.
+    /// Ends the answer as refused or interrupted.
     pub(crate) fn refuse(&self, refusal: Refusal) {
         self.end_with(End::Refused(refusal));
     }
 
-    /// How the answer ended; `None` while it has not.
+    /// Returns the result of the answer; `None` while it is active.
     pub(crate) fn end(&self) -> Option<End> {
         self.lock().end.clone()
     }
 
-    /// Notes the attempt that runs; the answer is the signal to stop it.
+    /// Records the running attempt; returns its cancel signal.
     pub(crate) fn begin_attempt(&self, attempt: Attempt) -> Receiver<()> {
         let (cancel, cancelled) = async_channel::bounded(1);
         let mut state = self.lock();
@@ -124,7 +123,7 @@
         self.lock().dispatched
     }
 
-    /// Stops an attempt if it runs.
+    /// Cancels an attempt if it is running.
     pub(crate) fn cancel_attempt(&self, attempt: Attempt) {
         let state = self.lock();
         let running = state.running.as_ref().filter(|running| running.attempt == attempt);
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -18,11 +18,11 @@
 
 /// How long a target may take to acknowledge a cancel order.
 ///
-/// The attempt's end is told only then, so that no newer attempt of the same request can be met by
-/// the order; an order without an answer proves nothing and the attempt counts as run.
-const CANCEL_WAIT: Duration = Duration::from_millis(500);
+/// The attempt is reported only afterwards, so that the order cannot cancel a newer attempt of the
+/// same request.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Makes one attempt and tells the control thread how it went.
+/// Makes one attempt and reports its result to the control thread.
 pub(crate) async fn run_attempt(
     forwarder: Forwarder,
     exchange: Arc<Exchange>,
@@ -46,12 +46,12 @@
         cancel_at(target.address, &exchange.request.id).await;
     }
     if outcome != Outcome::Whole {
-        reporter.report(ending(outcome, gate.progress()));
+        reporter.report(attempt_event(outcome, gate.progress()));
     }
 }
 
-/// What may be said of an attempt without a whole answer, given whether a byte can have left.
-fn ending(outcome: Outcome, progress: Progress) -> AttemptEvent {
+/// Returns the event of an incomplete attempt, given whether a byte may have been sent.
+fn attempt_event(outcome: Outcome, progress: Progress) -> AttemptEvent {
     match (outcome, progress) {
         (Outcome::Refused, _) => AttemptEvent::Refused,
         (_, Progress::Sent) => AttemptEvent::Broken,
@@ -61,20 +61,20 @@
     }
 }
 
-/// Orders a target to stop a request whose connection is closed already.
+/// Orders a target to cancel a request whose connection is already closed.
 async fn cancel_at(address: SocketAddr, id: &RequestId) {
     let client = Client::new(ClientConfig::new().with_nodelay(true)).without_keepalive();
     let body = serde_json::json!({"id": id.as_str()}).to_string();
     let order = async {
         let _ = client.post(format!("http://{address}/cancel")).with_body(body).await;
     };
-    let late = async {
-        Timer::after(CANCEL_WAIT).await;
+    let timeout = async {
+        Timer::after(CANCEL_TIMEOUT).await;
     };
-    order.or(late).await;
+    order.or(timeout).await;
 }
 
-/// Tells the control thread of one attempt.
+/// Reports the events of one attempt to the control thread.
 #[derive(Clone)]
 pub(crate) struct Reporter {
     forwarder: Forwarder,
@@ -86,7 +86,7 @@
     pub(crate) fn report(&self, event: AttemptEvent) {
         let ticket = self.exchange.ticket();
         let event = EntryEvent::Attempt { ticket, attempt: self.attempt, event };
-        self.forwarder.control.traffic(event, Some(self.exchange.clone()));
+        self.forwarder.control.send_traffic(event, Some(self.exchange.clone()));
     }
 }
 
--- a/crates/entry/src/forward/connector.rs
+++ b/crates/entry/src/forward/connector.rs
@@ -20,8 +20,8 @@
     pub(crate) idle: Arc<IdleConnections>,
     /// Whether an idle connection may be used.
     ///
-    /// Not for what may run only once: the target may be closing the idle connection right now, and
-    /// then nobody can tell whether the request ran.
+    /// False for non-idempotent requests: if the target closes the idle connection concurrently, it
+    /// is unknown whether the request ran.
     pub(crate) reuse: bool,
     pub(crate) connect_timeout: Duration,
 }
@@ -45,8 +45,8 @@
     type Udp = <ClientConfig as Connector>::Udp;
 
     async fn connect(&self, _url: &Url) -> io::Result<GatedTransport> {
-        let kept = if self.reuse { self.idle.take(self.address).await } else { None };
-        let stream = match kept {
+        let pooled = if self.reuse { self.idle.take(self.address).await } else { None };
+        let stream = match pooled {
             Some(stream) => stream,
             None => self.open().await?,
         };
--- a/crates/entry/src/forward/conversation.rs
+++ b/crates/entry/src/forward/conversation.rs
@@ -15,31 +15,31 @@
 use crate::forward::events::EventChecker;
 use crate::forward::forwarder::{Forwarder, Target};
 use crate::forward::gate::Gate;
-use crate::forward::progress::Unreported;
+use crate::forward::progress::UnreportedTokens;
 use crate::forward::refusals::is_engine_refusal;
 use celeryhaven_clock::BootClock;
 
-/// Answers up to this size, in bytes, go to the caller only when they are whole.
+/// Maximum size of an answer that is buffered whole, in bytes; longer ones are streamed.
 ///
-/// Such an answer can still be tried elsewhere when it breaks; a longer one goes out as it comes.
+/// A buffered answer can be retried at another target when it fails.
 const WHOLE_BYTES_MAX: usize = 1 << 20;
-/// How long a stream may take to end after its end mark for its connection to be used again.
-const REST: Duration = Duration::from_millis(200);
+/// How long a stream may take to close after its end mark for its connection to be reused.
+const STREAM_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 const READ_BYTES: usize = 16 << 10;
-/// Headers of a target's answer that go on to the caller.
+/// Headers of a target's answer that are forwarded to the caller.
 const ANSWER_HEADERS: [&str; 6] =
     ["content-type", "cache-control", "etag", "last-modified", "location", "content-language"];
 
-/// How a conversation with a target ended.
+/// Result of a conversation with a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The caller has the whole answer, and the control thread was told so.
+    /// The answer was forwarded completely, and reported to the control thread.
     Whole,
-    /// A refusal that means not run.
+    /// The target refused the request without running it.
     Refused,
     /// Anything else.
     Failed,
-    /// It was stopped from this side.
+    /// It was cancelled by this process.
     Stopped,
 }
 
@@ -63,12 +63,12 @@
         Self { exchange, forwarder, target, gate, reporter }
     }
 
-    /// Sends the request and hands the answer on.
+    /// Sends the request and forwards the answer.
     pub(crate) async fn run(&self) -> Outcome {
-        let asked = self.in_time(self.conn().into_future()).await;
-        let Some(Ok(mut conn)) = asked else { return Outcome::Failed };
+        let response = self.with_stall_timeout(self.conn().into_future()).await;
+        let Some(Ok(mut conn)) = response else { return Outcome::Failed };
         let status = conn.status().map_or(0, |status| status as u16);
-        if self.is_foreign(&conn) {
+        if self.has_foreign_id(&conn) {
             return Outcome::Failed;
         }
         let plain = self.exchange.request.kind == RequestKind::Plain;
@@ -91,7 +91,7 @@
             reuse: self.exchange.head.idempotency == Idempotency::Idempotent,
             connect_timeout: self.forwarder.connect_timeout,
         };
-        // A body under the limit is sent with its head: targets need not know `Expect`.
+        // Sends the body with its head, because targets may not support `Expect`.
         let client = Client::new(connector).with_max_buffered_request_body(usize::MAX);
         let request = &self.exchange.request;
         let url = format!("http://{}{}", self.target.address, request.path);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The body as it came, or with the token to go on from.
+    /// Returns the body, with the token to resume from if there is one.
     fn body(&self) -> Vec<u8> {
         let body = &self.exchange.request.body;
         let object = serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(body);
@@ -128,8 +128,8 @@
 
     /// Whether the answer names another request.
     ///
-    /// An engine must echo our identity; a plain service may leave it out, but not name another.
-    fn is_foreign(&self, conn: &Conn) -> bool {
+    /// An engine must echo the request ID; a plain service may omit it, but not send another.
+    fn has_foreign_id(&self, conn: &Conn) -> bool {
         let echoed = header(conn, "x-request-id");
         let own = echoed == Some(self.exchange.request.id.as_str());
         let success = conn.status().is_some_and(|status| status.is_success());
@@ -138,22 +138,22 @@
     }
 
     async fn stream(&self, conn: &mut Conn) -> Outcome {
-        if self.exchange.take_head_turn() {
+        if self.exchange.claim_head() {
             self.exchange.deliver(AnswerPart::Head(self.head(conn, 200, true))).await;
         }
         let mut started = false;
         let mut checker = EventChecker::new(&self.exchange.request.id, self.target.resume_from);
-        let mut unreported = Unreported::new(self.reporter);
+        let mut unreported = UnreportedTokens::new(self.reporter);
         let mut buffer = vec![0; READ_BYTES];
-        // No limit of its own: the answer goes out as it comes and is never held whole.
+        // No size limit: the answer is streamed.
         let mut body = conn.response_body().with_max_len(u64::MAX);
         loop {
-            let Some(Ok(read)) = self.in_time(body.read(&mut buffer)).await else {
+            let Some(Ok(read)) = self.with_stall_timeout(body.read(&mut buffer)).await else {
                 return Outcome::Failed;
             };
             let Ok(whole) = checker.push(&buffer[..read]) else { return Outcome::Failed };
             if whole.tokens > 0 && !std::mem::replace(&mut started, true) {
-                // Not at the head: engines may send it long before they begin.
+                // Not at the head: engines may send it long before the first token.
                 self.start();
             }
             if whole.tokens > 0 {
@@ -164,8 +164,8 @@
                 self.exchange.deliver(AnswerPart::Data(DONE.to_vec())).await;
                 drop(unreported);
                 self.finish();
-                let rest = async { body.read(&mut buffer).await.ok() };
-                if rest.or(late(REST)).await == Some(0) {
+                let closed = async { body.read(&mut buffer).await.ok() };
+                if closed.or(timeout(STREAM_CLOSE_TIMEOUT)).await == Some(0) {
                     self.gate.set_whole();
                 }
                 return Outcome::Whole;
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Reads an answer whole before any of it goes out, unless it is long.
+    /// Buffers an answer up to the limit and streams a longer one.
     async fn whole_answer(&self, conn: &mut Conn, status: u16) -> Outcome {
         let mut head = Some(self.head(conn, status, false));
         let mut pending = Vec::new();
@@ -184,10 +184,10 @@
         if !has_own_end(conn, status, &self.exchange.request.method) {
             return Outcome::Failed;
         }
-        // No limit of its own: the answer goes out as it comes and is never held whole.
+        // No size limit: a long answer is streamed.
         let mut body = conn.response_body().with_max_len(u64::MAX);
         loop {
-            let Some(Ok(read)) = self.in_time(body.read(&mut buffer)).await else {
+            let Some(Ok(read)) = self.with_stall_timeout(body.read(&mut buffer)).await else {
                 return Outcome::Failed;
             };
             pending.extend_from_slice(&buffer[..read]);
@@ -204,7 +204,7 @@
             }
         }
         if let Some(head) = head {
-            if self.is_foreign_body(&pending) {
+            if self.has_foreign_body_id(&pending) {
                 return Outcome::Failed;
             }
             self.start();
@@ -217,7 +217,7 @@
     }
 
     /// Whether a completion in one piece names another request.
-    fn is_foreign_body(&self, body: &[u8]) -> bool {
+    fn has_foreign_body_id(&self, body: &[u8]) -> bool {
         #[derive(serde::Deserialize)]
         struct Named {
             id: Option<String>,
@@ -229,22 +229,22 @@
 
     async fn engine_refusal(&self, conn: &mut Conn, status: u16) -> Outcome {
         let reading = conn.response_body().with_max_len(READ_BYTES as u64).read_bytes();
-        match self.in_time(reading).await {
+        match self.with_stall_timeout(reading).await {
             Some(Ok(body)) if is_engine_refusal(status, &body) => Outcome::Refused,
             _ => Outcome::Failed,
         }
     }
 
-    /// Notes that the caller has the whole answer.
+    /// Completes the answer.
     ///
-    /// At the end mark and not at the end of the connection: a target that sends the mark and then
-    /// hangs must not make the answer fail, or be tried elsewhere after its caller has it.
+    /// For streams this happens at the end mark, so that a target that hangs after the mark causes
+    /// no retry of an answer that the caller already has.
     fn finish(&self) {
-        self.exchange.finish(&self.forwarder.kept);
+        self.exchange.finish(&self.forwarder.answers);
         self.reporter.report(AttemptEvent::Finished);
     }
 
-    /// Notes that the target began to answer.
+    /// Reports that the target began to answer.
     fn start(&self) {
         self.reporter.report(AttemptEvent::Started);
         if self.target.resume_from == 0 {
@@ -270,9 +270,9 @@
         }
     }
 
-    /// Waits for a target, but not without end: a target that hangs must not hold its caller.
-    async fn in_time<F: Future>(&self, work: F) -> Option<F::Output> {
-        async { Some(work.await) }.or(late(self.forwarder.silence)).await
+    /// Waits for a target up to the stall timeout.
+    async fn with_stall_timeout<F: Future>(&self, work: F) -> Option<F::Output> {
+        async { Some(work.await) }.or(timeout(self.forwarder.stall_timeout)).await
     }
 }
 
@@ -282,15 +282,15 @@
     conn.response_headers().get_str(name)
 }
 
-async fn late<T>(limit: Duration) -> Option<T> {
+async fn timeout<T>(limit: Duration) -> Option<T> {
     Timer::after(limit).await;
     None
 }
 
-/// Whether an answer's end can be told from a connection that broke off.
+/// Whether the end of an answer can be told from a lost connection.
 ///
-/// Guards against an answer that is cut short and read as whole: one without a length and without
-/// chunks ends with its connection, whatever closed it.
+/// An answer with neither a length nor chunks ends with its connection, so a truncated one would
+/// look complete.
 fn has_own_end(conn: &Conn, status: u16, method: &str) -> bool {
     let length = header(conn, "content-length").is_some_and(|text| text.parse::<u64>().is_ok());
     let bodyless = matches!(status, 204 | 304) || method == "HEAD";
--- a/crates/entry/src/forward/events.rs
+++ b/crates/entry/src/forward/events.rs
@@ -3,30 +3,30 @@
 use celeryhaven_types::RequestId;
 use serde::Deserialize;
 
-/// Longest event that is waited for, in bytes.
+/// Maximum size of an event, in bytes.
 const EVENT_BYTES_MAX: usize = 1 << 20;
 const END: &[u8] = b"\n\n";
 const DONE: &str = "[DONE]";
 
-/// What a piece of a stream brought.
+/// Complete events found in a chunk of a stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WholeEvents {
-    /// Whole events in order, as they came, the end mark left out.
+    /// The events unchanged and in order, without the end mark.
     pub bytes: Vec<u8>,
-    /// How many tokens they carry.
+    /// Number of tokens in the events.
     pub tokens: u32,
-    /// Whether the end mark came.
+    /// Whether the end mark was received.
     pub done: bool,
 }
 
-/// The stream is not the answer to this request, or not as it should be.
+/// The stream belongs to another request or is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Foreign;
 
-/// Splits a stream of server-sent events into whole events and checks that each is ours.
+/// Splits a stream of server-sent events into complete events and validates each.
 ///
-/// Guards against crossed answers and gaps: every event names the request, and its token is the one
-/// after the last that the caller has. Half an event is never passed on.
+/// Every event must name the request and carry the token after the previous one. Partial events are
+/// never forwarded.
 ///
 /// ```
 /// use celeryhaven_entry::forward::EventChecker;
@@ -52,12 +52,12 @@
 }
 
 impl<'a> EventChecker<'a> {
-    /// Expects events of this request from this token on.
+    /// Creates a checker for a request that expects this token first.
     pub fn new(id: &'a RequestId, next_index: u32) -> Self {
         Self { id, next_index: next_index.into(), pending: Vec::new() }
     }
 
-    /// Takes bytes in as they come.
+    /// Adds received bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<WholeEvents, Foreign> {
         self.pending.extend_from_slice(bytes);
         let mut whole = WholeEvents::default();
@@ -94,7 +94,7 @@
     }
 }
 
-/// The data of an event; `None` for a comment.
+/// Returns the data of an event; `None` for a comment.
 fn data_of(event: &[u8]) -> Result<Option<&str>, Foreign> {
     let text = std::str::from_utf8(event).map_err(|_| Foreign)?.trim();
     match text.strip_prefix("data:") {
--- a/crates/entry/src/forward/forwarder.rs
+++ b/crates/entry/src/forward/forwarder.rs
@@ -8,12 +8,12 @@
 use celeryhaven_types::{Generation, ReplicaName, TimeMs};
 
 use crate::control::ControlHandle;
-use crate::exchange::{Exchange, KeptAnswers};
+use crate::exchange::{AnswerCache, Exchange};
 use crate::forward::attempt::run_attempt;
 use crate::forward::idle::IdleConnections;
 use celeryhaven_clock::BootClock;
 
-/// Where an attempt goes, and until when it may begin.
+/// Destination of an attempt, and the latest time to send it.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
@@ -22,35 +22,35 @@
     pub(crate) resume_from: u32,
 }
 
-/// Sends requests to targets and their answers to callers.
+/// Forwards requests to targets and answers to callers.
 #[derive(Clone)]
 pub(crate) struct Forwarder {
     pub(crate) control: ControlHandle,
-    pub(crate) kept: Arc<KeptAnswers>,
+    pub(crate) answers: Arc<AnswerCache>,
     pub(crate) metrics: EntryMetrics,
     pub(crate) idle: Arc<IdleConnections>,
     pub(crate) connect_timeout: Duration,
-    pub(crate) silence: Duration,
+    pub(crate) stall_timeout: Duration,
 }
 
 impl Forwarder {
     pub(crate) fn new(
         control: ControlHandle,
-        kept: Arc<KeptAnswers>,
+        answers: Arc<AnswerCache>,
         metrics: EntryMetrics,
         settings: &EntrySettings,
     ) -> Self {
         Self {
             control,
-            kept,
+            answers,
             metrics,
             idle: Arc::default(),
             connect_timeout: Duration::from_millis(settings.connect_timeout_ms),
-            silence: Duration::from_millis(settings.silence_timeout_ms),
+            stall_timeout: Duration::from_millis(settings.silence_timeout_ms),
         }
     }
 
-    /// Begins an attempt on the traffic threads.
+    /// Starts an attempt on the traffic threads.
     pub(crate) fn begin(&self, exchange: Arc<Exchange>, attempt: Attempt, target: Target) {
         let waited_ms = BootClock.now().since(exchange.arrived_at);
         match exchange.was_dispatched() {
--- a/crates/entry/src/forward/gate.rs
+++ b/crates/entry/src/forward/gate.rs
@@ -15,29 +15,26 @@
 use crate::forward::on_sent::OnSent;
 use celeryhaven_clock::BootClock;
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// No byte has left.
+    /// No byte has been sent.
     Unsent,
-    /// No byte has left, and none will: it was too late.
+    /// No byte has been or will be sent, because the time to send has passed.
     Expired,
-    /// No byte has left, and none will: it was stopped.
+    /// No byte has been or will be sent, because the attempt was stopped.
     Stopped,
-    /// The first byte is leaving or has left.
+    /// The first byte is being sent or has been sent.
     Sent,
 }
 
 const STEPS: [Progress; 4] =
     [Progress::Unsent, Progress::Expired, Progress::Stopped, Progress::Sent];
 
-/// Decides, at the very moment the first byte would leave, whether it may.
+/// Permits or denies the first byte of an attempt at the moment of the write.
 ///
-/// Guards against a process that is paused after the decision to send: when it wakes, the time of
-/// the decision has passed, the caller may have been told otherwise, and the target may belong to
-/// another replica. The clock is read here, in the write call itself, so that nothing but the
-/// kernel's own socket stands between the check and the byte. The step from [`Progress::Unsent`] is
-/// taken once, by whichever of sending, expiry and stopping comes first.
+/// Keeps a process that was paused after the decision to send from sending an expired request. The
+/// transition from [`Progress::Unsent`] happens once, by the first of sending, expiry and stopping.
 ///
 /// ```
 /// use celeryhaven_entry::forward::{Gate, Progress};
@@ -56,7 +53,7 @@
 }
 
 impl<S: OnSent> Gate<S> {
-    /// A gate that lets the first byte through until `send_before` and tells `on_sent` of it.
+    /// Creates a gate that permits the first byte until `send_before`, and then calls `on_sent`.
     pub fn new(send_before: TimeMs, on_sent: S) -> Self {
         Self {
             send_before,
@@ -68,12 +65,12 @@
         }
     }
 
-    /// How far it has come.
+    /// Returns the progress of the attempt.
     pub fn progress(&self) -> Progress {
         STEPS[usize::from(self.progress.load(Ordering::Acquire))]
     }
 
-    /// Notes that the whole answer was read, so that the connection may serve another request.
+    /// Records that the complete answer was read, so that the connection may be reused.
     pub(crate) fn set_whole(&self) {
         self.whole.store(true, Ordering::Release);
     }
@@ -82,7 +79,7 @@
         self.whole.load(Ordering::Acquire)
     }
 
-    /// Stops the attempt: no byte leaves any more, and an open connection is closed at once.
+    /// Stops the attempt: denies further bytes and closes an open connection.
     pub fn stop(&self) {
         self.step(Progress::Stopped);
         let stream = self.stream.lock().unwrap_or_else(PoisonError::into_inner).take();
@@ -100,7 +97,11 @@
         self.progress.compare_exchange(0, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// Asks to send the next bytes; an error if none may leave.
+    /// Requests permission to send the next bytes.
+    ///
+    /// # Errors
+    ///
+    /// The time to send has passed, or the attempt was stopped.
     pub fn permit_write(&self) -> io::Result<()> {
         match self.progress() {
             Progress::Sent => Ok(()),
@@ -117,11 +118,10 @@
     }
 }
 
-/// A connection whose first byte passes a [`Gate`], and which is used again only after a whole
-/// answer.
+/// A connection whose first byte needs the permission of a [`Gate`].
 ///
-/// Guards against crossed answers: an exchange that was cancelled, broke or timed out may still
-/// have bytes on the way, and the next request on the connection would read them as its own.
+/// It is reused only after a complete answer: otherwise the next request could read the remaining
+/// bytes of the previous answer as its own.
 pub(crate) struct GatedTransport {
     stream: TcpStream,
     address: SocketAddr,
--- a/crates/entry/src/forward/idle.rs
+++ b/crates/entry/src/forward/idle.rs
@@ -7,12 +7,12 @@
 
 use celeryhaven_clock::BootClock;
 
-/// Idle connections kept to one target.
-const KEPT_EACH: usize = 32;
-/// Age beyond which an idle connection is closed; targets close theirs after some seconds too.
-const KEPT_MS: u64 = 4_000;
+/// Maximum number of idle connections per target.
+const IDLE_PER_TARGET_MAX: usize = 32;
+/// Time after which an idle connection is discarded, in milliseconds.
+const IDLE_TIMEOUT_MS: u64 = 4_000;
 
-/// Connections to targets whose last answer came whole.
+/// Pool of idle connections to targets.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
     clock: BootClock,
@@ -20,23 +20,23 @@
 }
 
 impl IdleConnections {
-    /// Keeps a connection for another request.
+    /// Returns a connection to the pool.
     pub(crate) fn put(&self, address: SocketAddr, stream: TcpStream) {
         let now = self.clock.now();
         let mut by_target = self.lock();
-        let kept = by_target.entry(address).or_default();
-        kept.retain(|(since, _)| now.since(*since) < KEPT_MS);
-        if kept.len() < KEPT_EACH {
-            kept.push((now, stream));
+        let pool = by_target.entry(address).or_default();
+        pool.retain(|(idle_since, _)| now.since(*idle_since) < IDLE_TIMEOUT_MS);
+        if pool.len() < IDLE_PER_TARGET_MAX {
+            pool.push((now, stream));
         }
     }
 
-    /// Takes the youngest connection to a target that still stands and has nothing to read.
+    /// Takes the most recently used connection to a target that is open and has no unread bytes.
     pub(crate) async fn take(&self, address: SocketAddr) -> Option<TcpStream> {
         loop {
-            let (since, stream) = self.lock().get_mut(&address)?.pop()?;
-            let young = self.clock.now().since(since) < KEPT_MS;
-            if young && poll_once(stream.peek(&mut [0])).await.is_none() {
+            let (idle_since, stream) = self.lock().get_mut(&address)?.pop()?;
+            let fresh = self.clock.now().since(idle_since) < IDLE_TIMEOUT_MS;
+            if fresh && poll_once(stream.peek(&mut [0])).await.is_none() {
                 return Some(stream);
             }
         }
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts at targets.
+//! Forwarding of requests to targets.
 
 mod attempt;
 mod connector;
--- a/crates/entry/src/forward/on_sent.rs
+++ b/crates/entry/src/forward/on_sent.rs
@@ -1,16 +1,16 @@
-/// Hears that the first byte of an attempt is leaving.
+/// Observer of the first byte of an attempt.
 ///
-/// Any closure that may be called from several threads will do.
+/// Implemented for closures that may be called from several threads.
 ///
 /// ```
 /// use celeryhaven_entry::forward::OnSent;
-/// fn tell(observer: &impl OnSent) {
+/// fn notify(observer: &impl OnSent) {
 ///     observer.on_sent();
 /// }
-/// tell(&|| println!("it may have run"));
+/// notify(&|| println!("it may have run"));
 /// ```
 pub trait OnSent: Send + Sync + 'static {
-    /// Called once, right before the byte is given to the kernel.
+    /// Called once, right before the byte is written to the socket.
     fn on_sent(&self);
 }
 
--- a/crates/entry/src/forward/refusals.rs
+++ b/crates/entry/src/forward/refusals.rs
@@ -10,9 +10,9 @@
     code: String,
 }
 
-/// Whether an engine's answer is a refusal that its protocol defines as not run.
+/// Whether an engine's answer is a refusal that the protocol defines as not run.
 ///
-/// Nothing else is: an engine that fails in any other way may have begun.
+/// After any other failure the engine may have run the request.
 pub(crate) fn is_engine_refusal(status: u16, body: &[u8]) -> bool {
     let expected = match status {
         409 => "wrong_generation",
--- a/crates/entry/src/http/answer_body.rs
+++ b/crates/entry/src/http/answer_body.rs
@@ -8,43 +8,43 @@
 use smol::stream::Stream;
 
 use crate::exchange::{AnswerPart, End, RequestKind};
-use crate::http::refusal::{as_shown, error_body, message};
-use crate::http::settle::Settlement;
+use crate::http::refusal::{error_body, message, shown_to_caller};
+use crate::http::request_completion::RequestCompletion;
 
-/// A streamed answer; a caller that goes away drops it.
+/// A streamed answer; dropped when its caller disconnects.
 ///
-/// A stream of events that breaks ends with an error event and without its end mark. Any other
-/// answer that breaks ends its connection, so that it is never taken for a whole one.
+/// An interrupted event stream ends with an error event and without its end mark. Any other
+/// interrupted answer closes its connection, so that a truncated body never looks complete.
 pub(crate) struct AnswerBody {
     parts: Pin<Box<Receiver<AnswerPart>>>,
-    settlement: Option<Settlement>,
+    completion: Option<RequestCompletion>,
     piece: Vec<u8>,
     read: usize,
     delivered: u64,
 }
 
 impl AnswerBody {
-    pub(crate) fn new(parts: Receiver<AnswerPart>, settlement: Settlement) -> Self {
+    pub(crate) fn new(parts: Receiver<AnswerPart>, completion: RequestCompletion) -> Self {
         let parts = Box::pin(parts);
-        Self { parts, settlement: Some(settlement), piece: Vec::new(), read: 0, delivered: 0 }
+        Self { parts, completion: Some(completion), piece: Vec::new(), read: 0, delivered: 0 }
     }
 
-    /// The last piece, once there are no more parts; an error if the connection must break.
+    /// Returns the last chunk, after all parts; an error if the connection must be closed.
     fn last_piece(&mut self) -> io::Result<Vec<u8>> {
-        let Some(settlement) = self.settlement.take() else { return Ok(Vec::new()) };
+        let Some(completion) = self.completion.take() else { return Ok(Vec::new()) };
         let lost = End::Refused(Refusal::may_have_run(RefusalCode::AnswerLost));
-        let refusal = match settlement.exchange().end().unwrap_or(lost) {
+        let refusal = match completion.exchange().end().unwrap_or(lost) {
             End::Whole => {
-                settlement.answered(self.delivered);
+                completion.answered(self.delivered);
                 return Ok(Vec::new());
             }
             End::Refused(refusal) => refusal,
         };
-        let request = &settlement.exchange().request;
+        let request = &completion.exchange().request;
         let ends_with_event = request.kind == RequestKind::StreamedCompletion;
-        let shown = as_shown(refusal, request.kind == RequestKind::Plain);
+        let shown = shown_to_caller(refusal, request.kind == RequestKind::Plain);
         let body = error_body(shown, Some(&request.id), message(shown));
-        settlement.refused(refusal);
+        completion.refused(refusal);
         match ends_with_event {
             true => Ok(format!("data: {body}\n\n").into_bytes()),
             false => Err(io::ErrorKind::ConnectionAborted.into()),
@@ -62,7 +62,7 @@
             self.piece = match ready!(self.parts.as_mut().poll_next(cx)) {
                 Some(AnswerPart::Data(data)) => data,
                 Some(AnswerPart::Head(_)) => continue,
-                None if self.settlement.is_none() => return Poll::Ready(Ok(0)),
+                None if self.completion.is_none() => return Poll::Ready(Ok(0)),
                 None => self.last_piece()?,
             };
             self.read = 0;
--- a/crates/entry/src/http/authorise.rs
+++ b/crates/entry/src/http/authorise.rs
@@ -4,12 +4,12 @@
 
 use crate::control::View;
 
-/// The organisation whose API key a request carries.
+/// Returns the organisation of the API key in a request.
 pub(crate) fn authorise<'a>(view: &'a View, conn: &Conn) -> Result<&'a Organisation, RefusalCode> {
     let header = conn.request_headers().get_str("authorization").unwrap_or_default();
     let key = header.strip_prefix("Bearer ").map(str::trim).filter(|key| !key.is_empty());
     let key = key.ok_or(RefusalCode::Unauthenticated)?;
-    // Without a configuration nobody is known, and that is no fault of the caller's.
+    // Without a configuration no key can be checked, so the key is not reported as wrong.
     view.config_number().ok_or(RefusalCode::NodeUnavailable)?;
     view.organisation(&sha256_hex(key.as_bytes())).ok_or(RefusalCode::Unauthenticated)
 }
--- a/crates/entry/src/http/body.rs
+++ b/crates/entry/src/http/body.rs
@@ -9,7 +9,7 @@
 use crate::http::HttpContext;
 use crate::http::rejection::Rejection;
 
-/// Reads the body within the limits of size and time.
+/// Reads the body within the limits on size and time.
 pub(crate) async fn read_body(
     context: &HttpContext,
     conn: &mut Conn,
--- a/crates/entry/src/http/completion.rs
+++ b/crates/entry/src/http/completion.rs
@@ -1,16 +1,16 @@
 use celeryhaven_types::{AdapterName, ModelName, RequestClass};
 use serde::Deserialize;
 
-/// Bytes of prompt text whose hash names one block of an engine's prefix cache.
+/// Size of a block of an engine's prefix cache, in bytes of prompt text.
 const BLOCK_BYTES: usize = 256;
-/// Tokens of an answer when the caller names no number.
-const OUTPUT_TOKENS: u32 = 16;
-/// Text that makes one token, in bytes; an estimate.
+/// Maximum output tokens if the caller does not set `max_tokens`.
+const DEFAULT_OUTPUT_TOKENS: u32 = 16;
+/// Estimated size of a token, in bytes of text.
 const BYTES_PER_TOKEN: usize = 4;
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// What an entry reads of a completion request; the engine reads the rest.
+/// The fields of a completion request that an entry reads.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Completion {
     model: String,
@@ -28,7 +28,7 @@
 }
 
 impl Completion {
-    /// Reads a body; the error says what to send instead.
+    /// Parses a body; the error says what to send instead.
     pub(crate) fn parse(body: &[u8], chat: bool) -> Result<Self, String> {
         let parsed: Self = serde_json::from_slice(body)
             .map_err(|error| format!("send a completion request as JSON: {error}"))?;
@@ -48,10 +48,10 @@
     }
 
     pub(crate) fn output_tokens_max(&self) -> u32 {
-        self.max_tokens.unwrap_or(OUTPUT_TOKENS).max(1)
+        self.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS).max(1)
     }
 
-    /// The prompt as engines see it: the contents of all messages joined by newlines.
+    /// Returns the prompt as engines build it: the contents of all messages joined by newlines.
     pub(crate) fn prompt(&self) -> String {
         let contents = |messages: &Vec<ChatMessage>| {
             messages.iter().map(|message| message.content.as_str()).collect::<Vec<_>>().join("\n")
@@ -60,12 +60,12 @@
     }
 }
 
-/// Tokens of a text, estimated.
+/// Estimates the number of tokens in a text of this size.
 pub(crate) fn token_estimate(bytes: usize) -> u32 {
     u32::try_from(bytes / BYTES_PER_TOKEN + 1).unwrap_or(u32::MAX)
 }
 
-/// Hashes of the prompt's leading blocks, as engines name them in their cache events.
+/// Returns the hashes of the prompt's leading blocks, as in the cache events of engines.
 pub(crate) fn prefix_hashes(prompt: &str) -> Vec<u64> {
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
     blocks
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// Hash of a whole text.
+/// Returns the hash of a text.
 pub(crate) fn hash_of(text: &[u8]) -> u64 {
     fnv(FNV_OFFSET, text)
 }
--- a/crates/entry/src/http/context.rs
+++ b/crates/entry/src/http/context.rs
@@ -9,7 +9,7 @@
 use crate::control::ControlHandle;
 use crate::exchange::Registry;
 
-/// What every handler needs.
+/// State shared by all handlers.
 #[derive(Clone)]
 pub(crate) struct HttpContext {
     pub(crate) control: ControlHandle,
@@ -20,7 +20,7 @@
     pub(crate) limits: Limits,
 }
 
-/// What callers are held to.
+/// Limits on requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
     pub(crate) body_bytes: u64,
@@ -41,7 +41,7 @@
 }
 
 impl HttpContext {
-    /// An identity that no other request of any node has.
+    /// Returns a request ID that is unique across all nodes.
     pub(crate) fn next_request_id(&self) -> RequestId {
         let number = self.registry.next_ticket();
         let Incarnation { node, boot } = &self.incarnation;
--- a/crates/entry/src/http/guard.rs
+++ b/crates/entry/src/http/guard.rs
@@ -15,24 +15,23 @@
 use trillium_server_common::{Acceptor, Binding};
 use trillium_smol::SmolTransport;
 
-/// How long a connection may wait between two requests.
-const IDLE: Duration = Duration::from_secs(60);
+/// How long a connection may be idle between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the server accepts.
+/// A connection as accepted by the server.
 type Socket = Binding<SmolTransport<TcpStream>, SmolTransport<UnixStream>>;
 
-/// Bytes that are taken of a connection while its request waits for an answer.
+/// Maximum number of bytes read from a connection while its request waits for an answer.
 ///
-/// Reading is how a caller's leaving is seen. A caller that sends on and on meanwhile would fill the
-/// memory; beyond this bound its bytes wait in its own socket, and its leaving is seen when the
-/// answer is written.
-const AHEAD_BYTES_MAX: usize = 64 << 10;
+/// Reading detects a disconnect. Beyond this limit, which bounds memory, a disconnect is detected
+/// only when the answer is written.
+const READ_AHEAD_BYTES_MAX: usize = 64 << 10;
 
 /// Wraps callers' connections in [`GuardedTransport`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Guard {
-    /// How long a caller may take for a request's head; twice that for head and body.
-    pub(crate) read: Duration,
+    /// Time limit for the first byte of a new connection; twice that for a request's head and body.
+    pub(crate) read_timeout: Duration,
 }
 
 impl Acceptor<Socket> for Guard {
@@ -40,7 +39,7 @@
     type Error = Infallible;
 
     async fn accept(&self, input: Socket) -> Result<GuardedTransport, Infallible> {
-        Ok(GuardedTransport::new(input, self.read))
+        Ok(GuardedTransport::new(input, self.read_timeout))
     }
 
     fn is_secure(&self) -> bool {
@@ -50,22 +49,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// No byte of the next request came yet.
-    Between,
-    /// A request is coming in.
+    /// No byte of the next request was received yet.
+    Idle,
+    /// A request is being received.
     Reading,
-    /// A request is here whole and waits for its answer.
+    /// A complete request waits for its answer.
     Answering,
 }
 
-/// A caller's connection that is closed when a request comes in, or its answer is taken, too slowly.
+/// A caller's connection, closed when the caller sends a request or reads an answer too slowly.
 ///
-/// Guards against callers that open connections and stop in mid-head or mid-body: the HTTP library
-/// waits for the rest without end, and each such connection holds memory and a descriptor. Progress
-/// does not reset the time, so a byte every few seconds does not help such a caller.
+/// The HTTP library itself has no time limit for incomplete requests. Received bytes do not extend
+/// the deadline, so trickling a request does not keep the connection open.
 pub(crate) struct GuardedTransport {
     inner: Socket,
-    read: Duration,
+    read_timeout: Duration,
     phase: Phase,
     deadline: Timer,
     stalled: Option<Timer>,
@@ -73,19 +71,19 @@
 }
 
 impl GuardedTransport {
-    fn new(inner: Socket, read: Duration) -> Self {
-        // A new connection has nothing to wait for: its first byte is due like the rest.
+    fn new(inner: Socket, read_timeout: Duration) -> Self {
+        // The first byte on a new connection is due within the read timeout.
         Self {
             inner,
-            read,
-            phase: Phase::Between,
-            deadline: Timer::after(read),
+            read_timeout,
+            phase: Phase::Idle,
+            deadline: Timer::after(read_timeout),
             stalled: None,
             ahead_bytes: 0,
         }
     }
 
-    /// Finds the guard below a handler's connection, and stops its clock until the answer begins.
+    /// Suspends the read deadline of a handler's connection until its answer begins.
     pub(crate) fn pause(conn: &mut Conn) {
         let inner: &mut trillium_http::Conn<Box<dyn Transport>> = conn.as_mut();
         let mut transport: &mut dyn Any = &mut **inner.transport_mut();
@@ -100,17 +98,14 @@
         }
     }
 
-    /// Whether the caller has taken nothing of its answer for too long.
-    ///
-    /// Guards against callers that ask and do not read: the answer would stay in memory, and its
-    /// connection open, for as long as the caller likes.
+    /// Whether the caller has not read its answer for too long.
     fn is_stalled(&mut self, cx: &mut Context<'_>) -> bool {
-        let limit = self.read * 2;
+        let limit = self.read_timeout * 2;
         let stalled = self.stalled.get_or_insert_with(|| Timer::after(limit));
         Pin::new(stalled).poll(cx).is_ready()
     }
 
-    fn overdue(&mut self, cx: &mut Context<'_>) -> bool {
+    fn is_overdue(&mut self, cx: &mut Context<'_>) -> bool {
         self.phase != Phase::Answering && Pin::new(&mut self.deadline).poll(cx).is_ready()
     }
 }
@@ -121,20 +116,20 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        if self.phase == Phase::Answering && self.ahead_bytes >= AHEAD_BYTES_MAX {
+        if self.phase == Phase::Answering && self.ahead_bytes >= READ_AHEAD_BYTES_MAX {
             return Poll::Pending;
         }
         let read = Pin::new(&mut self.inner).poll_read(cx, buf);
         match &read {
             Poll::Ready(Ok(bytes)) if self.phase == Phase::Answering => self.ahead_bytes += bytes,
-            Poll::Ready(Ok(1..)) if self.phase == Phase::Between => {
+            Poll::Ready(Ok(1..)) if self.phase == Phase::Idle => {
                 self.phase = Phase::Reading;
-                let limit = self.read * 2;
+                let limit = self.read_timeout * 2;
                 self.deadline.set_after(limit);
             }
             _ => {}
         }
-        match self.overdue(cx) {
+        match self.is_overdue(cx) {
             true => Poll::Ready(Err(ErrorKind::TimedOut.into())),
             false => read,
         }
@@ -148,12 +143,12 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(cx, buf);
-        if matches!(written, Poll::Ready(Ok(_))) && self.phase != Phase::Between {
-            self.phase = Phase::Between;
+        if matches!(written, Poll::Ready(Ok(_))) && self.phase != Phase::Idle {
+            self.phase = Phase::Idle;
         }
         match &written {
             Poll::Ready(Ok(_)) => {
-                self.deadline.set_at(Instant::now() + IDLE);
+                self.deadline.set_at(Instant::now() + IDLE_TIMEOUT);
                 self.stalled = None;
                 written
             }
--- a/crates/entry/src/http/mod.rs
+++ b/crates/entry/src/http/mod.rs
@@ -1,7 +1,6 @@
-//! What callers see.
+//! HTTP interface for callers.
 
 mod answer_body;
-mod asked;
 mod authorise;
 mod body;
 mod completion;
@@ -10,13 +9,14 @@
 mod public;
 mod refusal;
 mod rejection;
+mod request_completion;
+mod request_options;
 mod respond;
 mod routes;
 mod server;
 mod service;
-mod settle;
 
 pub(crate) use context::{HttpContext, Limits};
-pub(crate) use respond::tell_gone;
+pub(crate) use respond::notify_disconnected;
 pub(crate) use server::serve;
 pub(crate) use service::submit;
--- a/crates/entry/src/http/public.rs
+++ b/crates/entry/src/http/public.rs
@@ -6,13 +6,13 @@
 use crate::http::authorise::authorise;
 use crate::http::respond::refuse_early;
 
-/// Keys that one call may ask for.
+/// Maximum number of keys per call.
 const KEYS_MAX: u64 = 1_000;
-/// Largest body of a call for keys, in bytes.
+/// Maximum body of a call for keys, in bytes.
 const KEYS_BODY_BYTES: u64 = 4_096;
 
 #[derive(Deserialize)]
-struct KeysAsked {
+struct KeysRequest {
     count: u64,
 }
 
@@ -35,8 +35,8 @@
         Err(code) => return refuse_early(context, conn, code, "send a valid API key"),
     };
     let body = conn.request_body().with_max_len(KEYS_BODY_BYTES).read_bytes().await;
-    let asked = body.ok().and_then(|body| serde_json::from_slice::<KeysAsked>(&body).ok());
-    let Some(KeysAsked { count: count @ 1..=KEYS_MAX }) = asked else {
+    let request = body.ok().and_then(|body| serde_json::from_slice::<KeysRequest>(&body).ok());
+    let Some(KeysRequest { count: count @ 1..=KEYS_MAX }) = request else {
         let message = "send {\"count\": N} with N from 1 to 1000";
         return refuse_early(context, conn, RefusalCode::BadRequest, message);
     };
@@ -46,7 +46,7 @@
     }
 }
 
-/// Serves `GET /healthz`: the process is alive and its control thread answers.
+/// Serves `GET /healthz`: whether the control thread answers.
 pub(crate) async fn health(context: &HttpContext, conn: &mut Conn) {
     match context.control.addresses(None).await {
         Some(_) => text(conn, 200, "alive\n".into()),
@@ -54,7 +54,7 @@
     }
 }
 
-/// Serves `GET /readyz`: the node takes requests and wants callers.
+/// Serves `GET /readyz`: whether the node accepts new requests.
 pub(crate) fn readiness(context: &HttpContext, conn: &mut Conn) {
     match context.control.view().ready {
         true => text(conn, 200, "ready\n".into()),
--- a/crates/entry/src/http/refusal.rs
+++ b/crates/entry/src/http/refusal.rs
@@ -1,11 +1,11 @@
 use celeryhaven_types::{Refusal, RefusalCode, RequestId, Verdict};
 use serde_json::{Value, json};
 
-/// A refusal as one caller sees it.
+/// Returns a refusal as shown to the caller.
 ///
-/// Guards against one organisation learning what another may use: what it may not use looks exactly
-/// like what does not exist. The log keeps the difference.
-pub(crate) fn as_shown(refusal: Refusal, is_service: bool) -> Refusal {
+/// A forbidden model or service looks like an unknown one, so that an organisation cannot find out
+/// what others use. The log has the original code.
+pub(crate) fn shown_to_caller(refusal: Refusal, is_service: bool) -> Refusal {
     match refusal.code {
         RefusalCode::Forbidden if is_service => {
             Refusal { code: RefusalCode::UnknownService, ..refusal }
@@ -15,7 +15,7 @@
     }
 }
 
-/// The body of a refusal, and the event that ends a broken stream.
+/// Returns the body of a refusal, also used as the event that ends an interrupted stream.
 pub(crate) fn error_body(refusal: Refusal, id: Option<&RequestId>, message: &str) -> Value {
     json!({"error": {
         "code": code_text(refusal.code),
@@ -26,7 +26,7 @@
     }})
 }
 
-/// The fixed word of a code.
+/// Returns the name of a code on the wire.
 pub(crate) fn code_text(code: RefusalCode) -> String {
     match serde_json::to_value(code) {
         Ok(Value::String(text)) => text,
@@ -34,7 +34,7 @@
     }
 }
 
-/// One sentence on what happened and what to do.
+/// Returns a sentence on what happened and what to do.
 pub(crate) fn message(refusal: Refusal) -> &'static str {
     match refusal.code {
         RefusalCode::BadRequest => "the request is not what this endpoint accepts",
@@ -61,7 +61,7 @@
     }
 }
 
-/// The verdict of a refusal that the HTTP layer gives by itself: nothing has been sent anywhere.
+/// Returns a refusal of the HTTP layer, which has sent nothing to any target.
 pub(crate) const fn not_run(code: RefusalCode) -> Refusal {
     Refusal { code, verdict: Verdict::NotRun, retry_after_ms: None }
 }
--- a/crates/entry/src/http/rejection.rs
+++ b/crates/entry/src/http/rejection.rs
@@ -1,6 +1,6 @@
 use celeryhaven_types::RefusalCode;
 
-/// Why a request is not let in.
+/// Reason to reject a request before its submission.
 pub(crate) struct Rejection {
     pub(crate) code: RefusalCode,
     pub(crate) message: String,
--- a/crates/entry/src/http/settle.rs
+++ b/crates/entry/src/http/request_completion.rs
@@ -6,24 +6,24 @@
 use crate::exchange::Exchange;
 use crate::http::HttpContext;
 use crate::http::refusal::code_text;
-use crate::http::respond::tell_gone;
+use crate::http::respond::notify_disconnected;
 use celeryhaven_clock::BootClock;
 
-/// The end of one request as the caller saw it: counted and logged once, whatever happens.
+/// Counts and logs the result of one request, exactly once.
 ///
-/// A handler that is dropped in the middle, because its caller went away, tells the control thread
-/// by dropping this, so a queued or running request never outlives its caller unnoticed.
-pub(crate) struct Settlement {
+/// If dropped before completion, because the caller disconnected, notifies the control thread, so
+/// that a queued or running request is cancelled.
+pub(crate) struct RequestCompletion {
     context: HttpContext,
     exchange: Arc<Exchange>,
     replica: Option<ReplicaName>,
-    settled: bool,
+    completed: bool,
 }
 
-impl Settlement {
+impl RequestCompletion {
     pub(crate) fn new(context: HttpContext, exchange: Arc<Exchange>) -> Self {
         context.metrics.in_flight.inc();
-        Self { context, exchange, replica: None, settled: false }
+        Self { context, exchange, replica: None, completed: false }
     }
 
     pub(crate) fn with_replica(mut self, replica: Option<ReplicaName>) -> Self {
@@ -35,21 +35,21 @@
         &self.exchange
     }
 
-    /// The caller has the whole answer.
+    /// Completes a request whose answer was sent.
     pub(crate) fn answered(mut self, delivered: u64) {
-        self.settle(Verdict::Answered, None, delivered);
+        self.complete(Verdict::Answered, None, delivered);
     }
 
-    /// The caller has a refusal, or a stream that ended with one.
+    /// Completes a request that ended with a refusal.
     pub(crate) fn refused(mut self, refusal: Refusal) {
-        self.settle(refusal.verdict, Some(refusal.code), 0);
+        self.complete(refusal.verdict, Some(refusal.code), 0);
     }
 
-    /// The caller has gone.
-    pub(crate) fn caller_gone(self) {}
+    /// Completes a request whose caller disconnected.
+    pub(crate) fn disconnected(self) {}
 
-    fn settle(&mut self, verdict: Verdict, code: Option<RefusalCode>, delivered: u64) {
-        self.settled = true;
+    fn complete(&mut self, verdict: Verdict, code: Option<RefusalCode>, delivered: u64) {
+        self.completed = true;
         let head = &self.exchange.head;
         let code = code.map(code_text);
         let took_ms = BootClock.now().since(self.exchange.arrived_at);
@@ -68,22 +68,22 @@
     }
 }
 
-impl Drop for Settlement {
+impl Drop for RequestCompletion {
     fn drop(&mut self) {
         self.context.metrics.in_flight.dec();
-        if !self.settled {
-            tell_gone(&self.context, &self.exchange);
+        if !self.completed {
+            notify_disconnected(&self.context, &self.exchange);
             let verdict = match self.exchange.was_dispatched() {
                 true => Verdict::MayHaveRun,
                 false => Verdict::NotRun,
             };
-            self.settle(verdict, Some(RefusalCode::CallerGone), 0);
+            self.complete(verdict, Some(RefusalCode::CallerGone), 0);
         }
     }
 }
 
 impl HttpContext {
-    /// Counts a request that ended.
+    /// Counts a completed request.
     pub(crate) fn count(
         &self,
         organisation: Option<&OrganisationName>,
--- a/crates/entry/src/http/asked.rs
+++ b/crates/entry/src/http/request_options.rs
@@ -4,16 +4,16 @@
 use crate::http::HttpContext;
 use crate::http::rejection::Rejection;
 
-/// What the head of a request says.
-pub(crate) struct Asked {
+/// Options of a request, from its head.
+pub(crate) struct RequestOptions {
     pub(crate) method: String,
     pub(crate) key: Option<String>,
     pub(crate) idempotent: Option<bool>,
     pub(crate) deadline_ms: u64,
 }
 
-impl Asked {
-    /// Reads it.
+impl RequestOptions {
+    /// Reads and validates the headers.
     pub(crate) fn read(context: &HttpContext, conn: &Conn) -> Result<Self, Rejection> {
         let header = |name: &'static str| conn.request_headers().get_str(name);
         let bad = |message: &str| Rejection::new(RefusalCode::BadRequest, message);
--- a/crates/entry/src/http/respond.rs
+++ b/crates/entry/src/http/respond.rs
@@ -8,35 +8,40 @@
 use crate::exchange::{AnswerHead, AnswerPart, End, Exchange, RequestKind};
 use crate::http::HttpContext;
 use crate::http::answer_body::AnswerBody;
-use crate::http::refusal::{as_shown, code_text, error_body, message, not_run};
-use crate::http::settle::Settlement;
+use crate::http::refusal::{code_text, error_body, message, not_run, shown_to_caller};
+use crate::http::request_completion::RequestCompletion;
 
-/// Waits for the answer to an exchange and gives it to the caller.
+/// Waits for the answer to an exchange and sends it to the caller.
 pub(crate) async fn respond(
     context: HttpContext,
     conn: &mut Conn,
     exchange: Arc<Exchange>,
     parts: Receiver<AnswerPart>,
 ) {
-    let settlement = Settlement::new(context, exchange.clone());
+    let completion = RequestCompletion::new(context, exchange.clone());
     let Some(first) = conn.cancel_on_disconnect(parts.recv()).await else {
-        return settlement.caller_gone();
+        return completion.disconnected();
     };
     match first {
-        Ok(AnswerPart::Head(head)) if head.streamed => stream(conn, head, parts, settlement),
-        Ok(AnswerPart::Head(head)) => whole(conn, head, parts, settlement).await,
-        Ok(AnswerPart::Data(_)) => lost(conn, settlement),
+        Ok(AnswerPart::Head(head)) if head.streamed => stream(conn, head, parts, completion),
+        Ok(AnswerPart::Head(head)) => whole(conn, head, parts, completion).await,
+        Ok(AnswerPart::Data(_)) => lost(conn, completion),
         Err(_) => match exchange.end() {
-            Some(End::Refused(refusal)) => refused(conn, refusal, settlement),
-            _ => lost(conn, settlement),
+            Some(End::Refused(refusal)) => refused(conn, refusal, completion),
+            _ => lost(conn, completion),
         },
     }
 }
 
-fn stream(conn: &mut Conn, head: AnswerHead, parts: Receiver<AnswerPart>, settlement: Settlement) {
+fn stream(
+    conn: &mut Conn,
+    head: AnswerHead,
+    parts: Receiver<AnswerPart>,
+    completion: RequestCompletion,
+) {
     let replica = head.replica.clone();
     put_head(conn, &head);
-    let body = AnswerBody::new(parts, settlement.with_replica(replica));
+    let body = AnswerBody::new(parts, completion.with_replica(replica));
     conn.set_body(Body::new_streaming(body, None));
 }
 
@@ -44,29 +49,29 @@
     conn: &mut Conn,
     head: AnswerHead,
     parts: Receiver<AnswerPart>,
-    settlement: Settlement,
+    completion: RequestCompletion,
 ) {
-    let settlement = settlement.with_replica(head.replica.clone());
+    let completion = completion.with_replica(head.replica.clone());
     let mut body = Vec::new();
     loop {
         let Some(part) = conn.cancel_on_disconnect(parts.recv()).await else {
-            return settlement.caller_gone();
+            return completion.disconnected();
         };
         match part {
             Ok(AnswerPart::Data(data)) => body.extend_from_slice(&data),
-            Ok(AnswerPart::Head(_)) => return lost(conn, settlement),
+            Ok(AnswerPart::Head(_)) => return lost(conn, completion),
             Err(_) => break,
         }
     }
-    match settlement.exchange().end() {
+    match completion.exchange().end() {
         Some(End::Whole) => {
             put_head(conn, &head);
             conn.insert_response_header("x-verdict", Verdict::Answered.as_str());
-            settlement.answered(body.len() as u64);
+            completion.answered(body.len() as u64);
             conn.set_body(body);
         }
-        Some(End::Refused(refusal)) => refused(conn, refusal, settlement),
-        None => lost(conn, settlement),
+        Some(End::Refused(refusal)) => refused(conn, refusal, completion),
+        None => lost(conn, completion),
     }
 }
 
@@ -81,23 +86,22 @@
     }
 }
 
-fn refused(conn: &mut Conn, refusal: Refusal, settlement: Settlement) {
-    let request = &settlement.exchange().request;
-    let shown = as_shown(refusal, request.kind == RequestKind::Plain);
+fn refused(conn: &mut Conn, refusal: Refusal, completion: RequestCompletion) {
+    let request = &completion.exchange().request;
+    let shown = shown_to_caller(refusal, request.kind == RequestKind::Plain);
     put_refusal(conn, shown, Some(&request.id), message(shown));
-    settlement.refused(refusal);
+    completion.refused(refusal);
 }
 
-/// The parts came in an order that this process never makes; say only what is certain.
-fn lost(conn: &mut Conn, settlement: Settlement) {
-    refused(conn, Refusal::may_have_run(RefusalCode::AnswerLost), settlement);
+/// Refuses as "may have run", for parts in an unexpected order.
+fn lost(conn: &mut Conn, completion: RequestCompletion) {
+    refused(conn, Refusal::may_have_run(RefusalCode::AnswerLost), completion);
 }
 
-/// Refuses a request that the HTTP layer did not let in.
+/// Refuses a request that the HTTP layer rejected.
 ///
-/// Guards against a doubled update: with a key, this may be a retry of a try that ran, here or at
-/// another entry, and "not run" would have the caller send the update anew under another key. The
-/// HTTP layer knows nothing of earlier tries, so it says "not run" only where there is no key.
+/// With a key, an earlier try may have run; "not run" would make the caller repeat the update under
+/// another key. So the verdict is "not run" only without a key.
 pub(crate) fn refuse_early(
     context: &HttpContext,
     conn: &mut Conn,
@@ -133,14 +137,14 @@
         conn.insert_response_header("retry-after-ms", retry_ms.to_string());
     }
     if matches!(refusal.code, RefusalCode::SlowCaller | RefusalCode::BodyTooLarge) {
-        // The rest of the body is not waited for.
+        // The rest of the body is not read.
         conn.insert_response_header("connection", "close");
     }
     conn.set_body(error_body(refusal, id, message).to_string());
 }
 
-/// Tells the control thread that a caller has gone.
-pub(crate) fn tell_gone(context: &HttpContext, exchange: &Arc<Exchange>) {
+/// Notifies the control thread that a caller has disconnected.
+pub(crate) fn notify_disconnected(context: &HttpContext, exchange: &Arc<Exchange>) {
     let event = EntryEvent::CallerGone { ticket: exchange.ticket() };
-    context.control.traffic(event, Some(exchange.clone()));
+    context.control.send_traffic(event, Some(exchange.clone()));
 }
--- a/crates/entry/src/http/routes.rs
+++ b/crates/entry/src/http/routes.rs
@@ -4,7 +4,7 @@
 use crate::http::respond::refuse_early;
 use crate::http::{HttpContext, public, service};
 
-/// Takes every caller's request to its handler.
+/// Routes requests to their handlers.
 pub(crate) struct Routes {
     pub(crate) context: HttpContext,
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// The service named by a path, and the path and query at its target.
+/// Returns the service named by a path, and the path and query at its target.
 fn service_of(path: &str, query: &str) -> Option<(String, String)> {
     let rest = path.strip_prefix("/services/")?;
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -46,7 +46,7 @@
     (!name.is_empty()).then(|| (name.to_owned(), format!("/{path}{mark}{query}")))
 }
 
-/// Size of a request's head as sent.
+/// Estimates the size of a request's head, in bytes.
 fn head_bytes(conn: &Conn) -> usize {
     let fields = conn.request_headers().iter().flat_map(|(name, values)| {
         let name_bytes = name.as_ref().len();
--- a/crates/entry/src/http/server.rs
+++ b/crates/entry/src/http/server.rs
@@ -9,16 +9,16 @@
 use crate::http::routes::Routes;
 use crate::process::{HttpSnafu, ProcessError};
 
-/// How much larger than its limit a head may be and still get an answer that says so.
+/// Factor between the head limit of the HTTP library and that of the settings.
 ///
-/// The HTTP library resets a connection without an answer beyond its own limit. Up to this factor
-/// the head is read and refused in words; a flood beyond it costs no more than that.
-const HEAD_SLACK: usize = 4;
+/// Between the two limits a request is refused with an error body; beyond the library's limit the
+/// connection is reset.
+const HEAD_LIMIT_FACTOR: usize = 4;
 
-/// Named in an error when the system does not tell the address.
+/// Address in errors when the local address is unknown.
 const UNKNOWN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Takes callers' requests.
+/// Starts the HTTP server for callers.
 pub(crate) fn serve(
     listener: TcpListener,
     context: HttpContext,
@@ -27,13 +27,13 @@
     let listener = smol::net::TcpListener::try_from(listener).context(HttpSnafu { address })?;
     let limits = context.limits;
     let http = HttpConfig::default()
-        .with_head_max_len(limits.head_bytes.saturating_mul(HEAD_SLACK))
+        .with_head_max_len(limits.head_bytes.saturating_mul(HEAD_LIMIT_FACTOR))
         .with_received_body_max_len(limits.body_bytes + 1);
     let handle = trillium_smol::config()
         .without_signals()
         .with_nodelay()
         .with_http_config(http)
-        .with_acceptor(Guard { read: limits.read })
+        .with_acceptor(Guard { read_timeout: limits.read })
         .with_prebound_server(listener)
         .spawn(Routes { context });
     Ok(handle)
--- a/crates/entry/src/http/service.rs
+++ b/crates/entry/src/http/service.rs
@@ -8,17 +8,17 @@
 
 use crate::exchange::{Exchange, ForwardRequest, RequestKind};
 use crate::http::HttpContext;
-use crate::http::asked::Asked;
 use crate::http::authorise::authorise;
 use crate::http::body::read_body;
 use crate::http::completion::{Completion, hash_of, prefix_hashes, token_estimate};
 use crate::http::guard::GuardedTransport;
 use crate::http::rejection::Rejection;
+use crate::http::request_options::RequestOptions;
 use crate::http::respond::{refuse_early, respond};
 use celeryhaven_clock::BootClock;
 
-/// Headers of a caller that go on to a plain service.
-const FORWARDED: [&str; 7] = [
+/// Headers of a caller's request that are forwarded to a plain service.
+const FORWARDED_HEADERS: [&str; 7] = [
     "accept",
     "accept-language",
     "content-type",
@@ -57,26 +57,31 @@
             Rejection::new(code, "send a valid API key as `authorization: Bearer KEY`")
         })?
         .clone();
-    let asked = Asked::read(context, conn)?;
+    let options = RequestOptions::read(context, conn)?;
     let body = read_body(context, conn).await?;
     GuardedTransport::pause(conn);
     let (request, head) = match route {
-        Route::Completion { chat } => completion(context, &organisation, &asked, body, chat)?,
+        Route::Completion { chat } => completion(context, &organisation, &options, body, chat)?,
         Route::Service { service, path } => {
             let known = view.service(&service);
-            let repeatable =
-                known.is_some_and(|known| known.idempotent_methods.contains(&asked.method));
-            plain(context, conn, &organisation, &asked, body, (service, path, repeatable))
+            let idempotent =
+                known.is_some_and(|known| known.idempotent_methods.contains(&options.method));
+            plain(context, conn, &organisation, &options, body, (service, path, idempotent))
         }
     };
-    let (exchange, parts) =
-        Exchange::new(context.registry.clone(), BootClock.now(), request, head, asked.key.clone());
+    let (exchange, parts) = Exchange::new(
+        context.registry.clone(),
+        BootClock.now(),
+        request,
+        head,
+        options.key.clone(),
+    );
     submit(context, &exchange, false);
     respond(context.clone(), conn, exchange, parts).await;
     Ok(())
 }
 
-/// Tells the control thread of a new request.
+/// Submits a request to the control thread.
 pub(crate) fn submit(context: &HttpContext, exchange: &Arc<Exchange>, passed_on: bool) {
     let key = exchange.key.clone().map_or(KeyUse::None, KeyUse::Presented);
     let event = EntryEvent::Arrived {
@@ -85,34 +90,34 @@
         key,
         passed_on,
     };
-    context.control.traffic(event, Some(exchange.clone()));
+    context.control.send_traffic(event, Some(exchange.clone()));
 }
 
 fn completion(
     context: &HttpContext,
     organisation: &Organisation,
-    asked: &Asked,
+    options: &RequestOptions,
     body: Vec<u8>,
     chat: bool,
 ) -> Result<(ForwardRequest, RequestHead), Rejection> {
     let completion = Completion::parse(&body, chat)
         .map_err(|message| Rejection::new(RefusalCode::BadRequest, message))?;
     let prompt = completion.prompt();
-    let repeatable = asked.idempotent.unwrap_or(true);
+    let idempotent = options.idempotent.unwrap_or(true);
     let kind = match completion.stream {
         true => RequestKind::StreamedCompletion,
         false => RequestKind::WholeCompletion,
     };
     let mut hashes = prefix_hashes(&prompt);
-    if !repeatable {
-        // Two requests with one key must be told apart by all they say, not by whole blocks only.
+    if !idempotent {
+        // Identifies the complete body of a repeated key, which the block hashes do not cover.
         hashes.push(hash_of(&body));
     }
     let head = RequestHead {
         prompt_tokens: token_estimate(prompt.len()),
         output_tokens_max: completion.output_tokens_max(),
         prefix_hashes: hashes,
-        ..head(context, organisation, asked, completion.class(), repeatable)
+        ..head(context, organisation, options, completion.class(), idempotent)
     };
     let request = ForwardRequest {
         id: head.id.clone(),
@@ -129,30 +134,29 @@
     context: &HttpContext,
     conn: &Conn,
     organisation: &Organisation,
-    asked: &Asked,
+    options: &RequestOptions,
     body: Vec<u8>,
-    (service, path, repeatable): (ServiceName, String, bool),
+    (service, path, idempotent): (ServiceName, String, bool),
 ) -> (ForwardRequest, RequestHead) {
-    // The header only makes a call stricter: what the configuration does not allow to be repeated
-    // stays so whatever the caller says.
-    let repeatable = repeatable && asked.idempotent.unwrap_or(true);
-    let content = [asked.method.as_bytes(), path.as_bytes(), &body].concat();
+    // The header can only restrict: it cannot make a method idempotent that is not configured so.
+    let idempotent = idempotent && options.idempotent.unwrap_or(true);
+    let content = [options.method.as_bytes(), path.as_bytes(), &body].concat();
     let class = RequestClass::Plain { service };
     let head = RequestHead {
-        // A plain call has no prompt: its bytes say nothing about how long it takes.
+        // A plain call has no prompt to estimate its cost from.
         prefix_hashes: vec![hash_of(&content)],
-        ..head(context, organisation, asked, class, repeatable)
+        ..head(context, organisation, options, class, idempotent)
     };
-    let copied = FORWARDED.into_iter().filter_map(|name| {
+    let copied = FORWARDED_HEADERS.into_iter().filter_map(|name| {
         let value = conn.request_headers().get_str(name)?;
         Some((name.to_owned(), value.to_owned()))
     });
-    let key = asked.key.iter().filter(|_| !repeatable);
+    let key = options.key.iter().filter(|_| !idempotent);
     let key = key.map(|key| ("idempotency-key".to_owned(), key.clone()));
     let request = ForwardRequest {
         id: head.id.clone(),
         kind: RequestKind::Plain,
-        method: asked.method.clone(),
+        method: options.method.clone(),
         path,
         headers: copied.chain(key).collect(),
         body,
@@ -163,9 +167,9 @@
 fn head(
     context: &HttpContext,
     organisation: &Organisation,
-    asked: &Asked,
+    options: &RequestOptions,
     class: RequestClass,
-    repeatable: bool,
+    idempotent: bool,
 ) -> RequestHead {
     RequestHead {
         id: context.next_request_id(),
@@ -173,11 +177,11 @@
         class,
         priority: organisation.priority,
         worth: organisation.worth,
-        idempotency: match repeatable {
+        idempotency: match idempotent {
             true => Idempotency::Idempotent,
             false => Idempotency::NonIdempotent,
         },
-        deadline_in_ms: asked.deadline_ms,
+        deadline_in_ms: options.deadline_ms,
         start_within_ms: None,
         prompt_tokens: 0,
         output_tokens_max: 0,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,17 +1,17 @@
-//! The entry process: admits, queues, routes, streams.
+//! The entry process: admits, queues, routes and streams requests.
 //!
 //! | module | what it holds |
 //! |---|---|
-//! | [`process`] | starting, leaving |
+//! | [`process`] | start and graceful stop |
 //! | `control` | the thread that drives the node's state machine |
-//! | `exchange` | one caller's request and its answer, between threads |
-//! | [`forward`] | attempts at targets |
-//! | `http` | what callers see |
+//! | `exchange` | a caller's request and its answer, shared between threads |
+//! | [`forward`] | forwarding of requests to targets |
+//! | `http` | HTTP interface for callers |
 //! | `peer` | links to other entries |
 //!
 //! One thread drives [`EntryNode`](celeryhaven_node::EntryNode) and does nothing else. Requests and
-//! answers move on other threads; they tell the control thread what happened and carry out what it
-//! decides.
+//! answers are handled on other threads, which report events to the control thread and execute its
+//! actions.
 
 mod control;
 mod exchange;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry process: admits, queues, routes, streams.
+//! The entry process: admits, queues, routes and streams requests.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 use celeryhaven_settings::EntrySettings;
 use celeryhaven_telemetry::open_log;
 
-/// What the program is for, in its help.
+/// Purpose in the help text.
 const PURPOSE: &str = "takes callers' requests and routes them to whole replicas";
 
 const FAILED: u8 = 1;
--- a/crates/entry/src/peer/answering.rs
+++ b/crates/entry/src/peer/answering.rs
@@ -2,18 +2,17 @@
 use celeryhaven_types::{Incarnation, Refusal, RefusalCode};
 
 use crate::exchange::{End, Exchange};
-use crate::http::{HttpContext, submit, tell_gone};
-use crate::peer::message::{AnswerFrame, PassedOn};
+use crate::http::{HttpContext, notify_disconnected, submit};
+use crate::peer::message::{AnswerFrame, DelegatedRequest};
 use celeryhaven_clock::BootClock;
 
-/// Runs a request that another entry passed on, as if it had arrived here, and sends the answer
-/// back.
-pub(crate) async fn answer_passed_on(
+/// Serves a request delegated by another entry like one of this entry, and sends the answer back.
+pub(crate) async fn serve_delegated(
     context: HttpContext,
     own: Incarnation,
     mut frames: FrameStream,
 ) {
-    if let Ok(Some(request)) = frames.receive::<PassedOn>().await {
+    if let Ok(Some(request)) = frames.receive::<DelegatedRequest>().await {
         let _ = run(&context, &own, request, &mut frames).await;
     }
 }
@@ -21,16 +20,16 @@
 async fn run(
     context: &HttpContext,
     own: &Incarnation,
-    passed: PassedOn,
+    delegated: DelegatedRequest,
     frames: &mut FrameStream,
 ) -> Result<(), LinkError> {
-    if passed.to != *own || passed.organisation != passed.head.organisation {
-        // The incarnation that it was meant for is gone: whether it ran there nobody can tell.
+    if delegated.to != *own || delegated.organisation != delegated.head.organisation {
+        // The requested incarnation no longer exists, so whether it ran the request is unknown.
         let refusal = Refusal::may_have_run(RefusalCode::IssuerGone);
         frames.send(&AnswerFrame::End(End::Refused(refusal))).await?;
         return frames.finish();
     }
-    let PassedOn { key, mut head, mut request, .. } = passed;
+    let DelegatedRequest { key, mut head, mut request, .. } = delegated;
     let id = context.next_request_id();
     head.id = id.clone();
     request.id = id;
@@ -47,7 +46,7 @@
     };
     let sent = sending.await;
     if sent.is_err() {
-        tell_gone(context, &exchange);
+        notify_disconnected(context, &exchange);
     }
     sent
 }
--- a/crates/entry/src/peer/passing.rs
+++ b/crates/entry/src/peer/delegation.rs
@@ -8,18 +8,18 @@
 
 use crate::exchange::{AnswerPart, End, Exchange};
 use crate::peer::Peers;
-use crate::peer::message::{AnswerFrame, PassedOn};
+use crate::peer::message::{AnswerFrame, DelegatedRequest};
 use celeryhaven_clock::BootClock;
 
-/// How much longer than its deadline a request may take at the other entry, in milliseconds.
-const GRACE_MS: u64 = 500;
+/// Time beyond its deadline that a delegated request may take, in milliseconds.
+const DELEGATION_GRACE_MS: u64 = 500;
 
 impl Peers {
-    /// Passes a request on to the entry that alone may run its key, and hands its answer on.
-    pub(crate) fn pass_on(&self, exchange: Arc<Exchange>, to: Incarnation, address: SocketAddr) {
+    /// Delegates a request to the entry that issued its key, and forwards the answer.
+    pub(crate) fn delegate(&self, exchange: Arc<Exchange>, to: Incarnation, address: SocketAddr) {
         let peers = self.clone();
         async_global_executor::spawn(async move {
-            let answered = match peers.converse(&exchange, to, address).await {
+            let answered = match peers.request_answer(&exchange, to, address).await {
                 Ok(end) => {
                     finish(&exchange, end);
                     true
@@ -32,23 +32,23 @@
                 }
             };
             let event = EntryEvent::PassedOn { ticket: exchange.ticket(), answered };
-            peers.control.traffic(event, Some(exchange));
+            peers.control.send_traffic(event, Some(exchange));
         })
         .detach();
     }
 
-    async fn converse(
+    async fn request_answer(
         &self,
         exchange: &Exchange,
         to: Incarnation,
         address: SocketAddr,
     ) -> Result<End, LinkError> {
         let mut frames = self.pool.open(BootClock.now(), address).await?;
-        let passed = BootClock.now().since(exchange.arrived_at);
+        let elapsed_ms = BootClock.now().since(exchange.arrived_at);
         let mut head = exchange.head.clone();
-        head.deadline_in_ms = head.deadline_in_ms.saturating_sub(passed);
-        let limit_ms = head.deadline_in_ms + GRACE_MS;
-        let request = PassedOn {
+        head.deadline_in_ms = head.deadline_in_ms.saturating_sub(elapsed_ms);
+        let limit_ms = head.deadline_in_ms + DELEGATION_GRACE_MS;
+        let request = DelegatedRequest {
             to,
             organisation: head.organisation.clone(),
             key: exchange.key.clone().unwrap_or_default(),
@@ -57,11 +57,11 @@
         };
         frames.send(&request).await?;
         frames.finish()?;
-        hand_on(exchange, &mut frames, limit_ms).await
+        forward_answer(exchange, &mut frames, limit_ms).await
     }
 }
 
-async fn hand_on(
+async fn forward_answer(
     exchange: &Exchange,
     frames: &mut FrameStream,
     limit_ms: u64,
@@ -69,20 +69,24 @@
     loop {
         match frames.receive_within::<AnswerFrame>(limit_ms).await? {
             Some(AnswerFrame::Part(AnswerPart::Head(head))) => {
-                if exchange.take_head_turn() {
+                if exchange.claim_head() {
                     exchange.deliver(AnswerPart::Head(head)).await;
                 }
             }
             Some(AnswerFrame::Part(part)) => exchange.deliver(part).await,
             Some(AnswerFrame::End(end)) => return Ok(end),
-            None => return Err(LinkError::Read { message: "ended without an end".into() }),
+            None => {
+                return Err(LinkError::Read {
+                    message: "stream closed before the result frame".into(),
+                });
+            }
         }
     }
 }
 
 fn finish(exchange: &Exchange, end: End) {
     match end {
-        End::Whole => exchange.finish_unkept(),
+        End::Whole => exchange.finish_uncached(),
         End::Refused(refusal) => exchange.refuse(refusal),
     }
 }
--- a/crates/entry/src/peer/message.rs
+++ b/crates/entry/src/peer/message.rs
@@ -4,27 +4,27 @@
 use crate::exchange::{AnswerPart, End, ForwardRequest};
 
 data! {
-    /// The request frame of a request passed on.
+    /// Request frame of a delegated request.
     #[serde(deny_unknown_fields)]
-    pub(crate) struct PassedOn {
-        /// The incarnation that it is meant for; any other refuses it.
+    pub(crate) struct DelegatedRequest {
+        /// Destination incarnation; any other refuses the request.
         pub(crate) to: Incarnation,
-        /// Whose it is, as the entry that the caller met found out.
+        /// Organisation of the caller, authenticated by the delegating entry.
         pub(crate) organisation: OrganisationName,
-        /// The key that the caller presented.
+        /// Idempotency key of the caller.
         pub(crate) key: String,
-        /// What is known of it; its deadline counts from arrival.
+        /// Head of the request; its deadline counts from the arrival of this frame.
         pub(crate) head: RequestHead,
-        /// What goes to a target.
+        /// The request as sent to a target.
         pub(crate) request: ForwardRequest,
     }
 
-    /// An answer frame of a request passed on.
+    /// Answer frame of a delegated request.
     #[serde(rename_all = "snake_case")]
     pub(crate) enum AnswerFrame {
-        /// A piece of the answer.
+        /// Part of the answer.
         Part(AnswerPart),
-        /// The last frame.
+        /// Result of the answer; the last frame.
         End(End),
     }
 }
--- a/crates/entry/src/peer/mod.rs
+++ b/crates/entry/src/peer/mod.rs
@@ -1,8 +1,8 @@
 //! Links to other entries.
 
 mod answering;
+mod delegation;
 mod message;
-mod passing;
 mod peers;
 mod receiving;
 
--- a/crates/entry/src/peer/peers.rs
+++ b/crates/entry/src/peer/peers.rs
@@ -10,7 +10,7 @@
 use crate::control::ControlHandle;
 use celeryhaven_clock::BootClock;
 
-/// Sends to the other entries and takes what they send.
+/// Sends messages to other entries and receives theirs.
 #[derive(Clone)]
 pub(crate) struct Peers {
     pub(crate) control: ControlHandle,
@@ -38,7 +38,7 @@
         self.metrics.process.control_bytes.get_or_create(&label).inc_by(bytes as u64);
     }
 
-    /// Sends a message of the state machine; it may be lost.
+    /// Sends a message of the state machine, without a delivery guarantee.
     pub(crate) fn send(&self, address: SocketAddr, message: &PeerMessage) {
         let Ok(bytes) = celeryhaven_link::wire::encode(message) else { return };
         self.count_bytes("sent", bytes.len());
--- a/crates/entry/src/peer/receiving.rs
+++ b/crates/entry/src/peer/receiving.rs
@@ -5,11 +5,11 @@
 
 use crate::http::HttpContext;
 use crate::peer::Peers;
-use crate::peer::answering::answer_passed_on;
+use crate::peer::answering::serve_delegated;
 
 impl Peers {
-    /// Takes links of other entries, for as long as the endpoint is open.
-    pub(crate) async fn accept_forever(self, context: HttpContext) {
+    /// Accepts links of other entries until the endpoint closes.
+    pub(crate) async fn accept_links(self, context: HttpContext) {
         while let Some(incoming) = self.endpoint.accept().await {
             let (peers, context) = (self.clone(), context.clone());
             smol::spawn(async move {
@@ -31,31 +31,33 @@
         smol::future::or(messages, requests).await;
     }
 
-    /// Takes messages until the link closes.
+    /// Receives messages until the link closes.
     async fn receive(&self, link: &Link, from: NodeName) {
         loop {
             match link.receive_bytes().await {
-                Ok(bytes) => self.take(&from, &bytes),
+                Ok(bytes) => self.handle_message(&from, &bytes),
                 Err(LinkError::Closed { .. }) => return,
                 Err(error) => debug!(self.log, "a message was lost"; "error" => error.to_string()),
             }
         }
     }
 
-    fn take(&self, from: &NodeName, bytes: &[u8]) {
+    fn handle_message(&self, from: &NodeName, bytes: &[u8]) {
         self.count_bytes("received", bytes.len());
         match celeryhaven_link::wire::decode(bytes) {
-            // A node speaks for itself only: its certificate says who it is.
-            Ok(message) => self.control.control(EntryEvent::Peer { from: from.clone(), message }),
+            // The sender is the node of the certificate.
+            Ok(message) => {
+                self.control.send_control(EntryEvent::Peer { from: from.clone(), message })
+            }
             Err(error) => debug!(self.log, "a message was not read"; "error" => error.to_string()),
         }
     }
 
-    /// Takes requests passed on until the link closes.
+    /// Accepts delegated requests until the link closes.
     async fn requests(&self, link: &Link, context: HttpContext) {
         while let Ok(frames) = link.accept().await {
             let own = self.incarnation.clone();
-            let serving = answer_passed_on(context.clone(), own, frames);
+            let serving = serve_delegated(context.clone(), own, frames);
             async_global_executor::spawn(serving).detach();
         }
     }
--- a/crates/entry/src/process/entry_process.rs
+++ b/crates/entry/src/process/entry_process.rs
@@ -15,8 +15,8 @@
 use snafu::ResultExt;
 use trillium_server_common::ServerHandle;
 
-use crate::control::{Calls, Carrier, ControlHandle, ControlLoop, Query, Reader};
-use crate::exchange::{KeptAnswers, Registry};
+use crate::control::{ActionExecutor, Calls, ControlHandle, ControlLoop, Query, Reader};
+use crate::exchange::{AnswerCache, Registry};
 use crate::forward::Forwarder;
 use crate::http::{self, HttpContext, Limits};
 use crate::peer::Peers;
@@ -36,19 +36,23 @@
     metrics: EntryMetrics,
 }
 
-/// Makes a running entry leave.
+/// Handle that makes a running entry leave.
 #[derive(Clone)]
 pub struct Leaver(ControlHandle);
 
 impl Leaver {
-    /// Starts to leave: address answers name this node no more, and the process ends in order.
+    /// Starts a graceful stop: address answers omit this node, and the process exits when drained.
     pub fn leave(&self) {
-        self.0.control(EntryEvent::Leave);
+        self.0.send_control(EntryEvent::Leave);
     }
 }
 
 impl EntryProcess {
-    /// Opens its sockets and starts its threads.
+    /// Opens the sockets and starts the threads.
+    ///
+    /// # Errors
+    ///
+    /// A credential, socket, thread or random seed is not available.
     pub fn start(settings: &EntrySettings, log: Logger) -> Result<Self, ProcessError> {
         start_traffic_threads(settings.traffic_threads);
         let Sockets { settings, listener, http_address, endpoint, peer_address } =
@@ -73,10 +77,10 @@
             limits: Limits::new(settings),
         };
         let server = http::serve(listener, context.clone())?;
-        smol::spawn(peers.clone().accept_forever(context)).detach();
-        let carrier = carrier(settings, &control, registry, &metrics, peers);
+        smol::spawn(peers.clone().accept_links(context)).detach();
+        let action_executor = action_executor(settings, &control, registry, &metrics, peers);
         let node_settings = node_settings(settings, incarnation.clone());
-        let thread = start_control(node_settings, &control, carrier, &metrics)?;
+        let thread = start_control(node_settings, &control, action_executor, &metrics)?;
         info!(log, "started"; "incarnation" => incarnation.to_string(),
             "http" => http_address.to_string(), "peer" => peer_address.to_string());
         let thread = Some(thread);
@@ -92,35 +96,36 @@
         })
     }
 
-    /// Where callers are answered.
+    /// Returns the HTTP address for callers.
     pub fn http_address(&self) -> SocketAddr {
         self.http_address
     }
 
-    /// Where other entries are answered.
+    /// Returns the link address for other entries.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// This start of the process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// What it measures.
+    /// Returns the metrics.
     pub fn metrics(&self) -> &EntryMetrics {
         &self.metrics
     }
 
-    /// What makes it leave from another thread.
+    /// Returns a handle to stop the entry from another thread.
     pub fn leaver(&self) -> Leaver {
         Leaver(self.control.clone())
     }
 
-    /// Waits until the node has left, then until the last bytes of answers are out.
+    /// Waits until the node has left and all answers are sent.
+    ///
+    /// # Errors
     ///
-    /// A control thread that ends by a fault ends the process as a failure, at once: nothing would
-    /// admit, cancel or refuse any more, and callers are better off with another entry.
+    /// The control thread panicked; returned at once, because no request can be served without it.
     pub fn wait_left(mut self) -> Result<(), ProcessError> {
         let ended = self.thread.take().map_or(Ok(()), JoinHandle::join);
         ended.map_err(|_| ProcessError::ControlEnded)?;
@@ -129,9 +134,9 @@
         Ok(())
     }
 
-    /// Ends at once: open answers break, as when a VM dies.
+    /// Stops at once and interrupts open answers, like the loss of the VM.
     pub fn kill(mut self) {
-        self.control.tell(Query::Stop);
+        self.control.send_query(Query::Stop);
         self.endpoint.close();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -148,22 +153,22 @@
     async_global_executor::init_with_config(config);
 }
 
-fn carrier(
+fn action_executor(
     settings: &EntrySettings,
     control: &ControlHandle,
     registry: Arc<Registry>,
     metrics: &EntryMetrics,
     peers: Peers,
-) -> Carrier {
-    let kept_bytes = usize::try_from(settings.kept_answers_bytes).unwrap_or(usize::MAX);
-    let kept = Arc::new(KeptAnswers::new(kept_bytes));
+) -> ActionExecutor {
+    let cache_bytes = usize::try_from(settings.kept_answers_bytes).unwrap_or(usize::MAX);
+    let answers = Arc::new(AnswerCache::new(cache_bytes));
     let timeout = Duration::from_millis(settings.store_timeout_ms);
     let calls = Calls::new(metrics.process.clone());
-    Carrier {
+    ActionExecutor {
         control: control.clone(),
         registry,
-        kept: kept.clone(),
-        forwarder: Forwarder::new(control.clone(), kept, metrics.clone(), settings),
+        answers: answers.clone(),
+        forwarder: Forwarder::new(control.clone(), answers, metrics.clone(), settings),
         store: StoreClient::new(settings.object_api, timeout),
         reader: Reader::new(control.clone(), settings, calls.clone()),
         peers,
@@ -174,13 +179,13 @@
 fn start_control(
     settings: celeryhaven_node::EntrySettings,
     control: &ControlHandle,
-    carrier: Carrier,
+    action_executor: ActionExecutor,
     metrics: &EntryMetrics,
 ) -> Result<JoinHandle<()>, ProcessError> {
     let seed = random_seed()?;
     let policy_seed = settings.incarnation.boot.get();
     let policy = FairPolicy::new(FairSettings::new(policy_seed));
     let node = EntryNode::new(settings, policy, seed);
-    let control = ControlLoop::new(node, control.clone(), carrier, metrics.clone());
+    let control = ControlLoop::new(node, control.clone(), action_executor, metrics.clone());
     thread::Builder::new().name("control".into()).spawn(move || control.run()).context(ThreadSnafu)
 }
--- a/crates/entry/src/process/error.rs
+++ b/crates/entry/src/process/error.rs
@@ -4,58 +4,58 @@
 use celeryhaven_link::LinkError;
 use snafu::Snafu;
 
-/// Why an entry process could not start, or ended.
+/// Error of an entry process at its start or while running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum ProcessError {
-    /// Certificate, key or authority cannot be used.
+    /// The certificate, key or authority cannot be used.
     #[snafu(display("the certificate files cannot be used: {source}"))]
     Credentials {
-        /// Why.
+        /// The cause.
         source: LinkError,
     },
     /// The certificate names another process.
     #[snafu(display("the certificate is for `{found}`, but `node` is `{node}`; make them agree"))]
     WrongCertificate {
-        /// Whom it names.
+        /// Name in the certificate.
         found: String,
-        /// Whom the settings name.
+        /// Name in the settings.
         node: String,
     },
     /// The peer link cannot be opened.
     #[snafu(display("the peer link cannot be opened: {source}"))]
     Peer {
-        /// Why.
+        /// The cause.
         source: LinkError,
     },
     /// The HTTP address cannot be listened on.
     #[snafu(display("{address}: cannot be listened on: {source}; choose a free address"))]
     Http {
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The system gives no random numbers.
-    #[snafu(display("the system gives no random numbers: {message}"))]
+    /// The system random number generator failed.
+    #[snafu(display("cannot read system randomness: {message}"))]
     Random {
-        /// Why.
+        /// The cause.
         message: String,
     },
     /// The control thread cannot be started.
     #[snafu(display("the control thread cannot be started: {source}"))]
     Thread {
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The control thread ended by a fault.
-    #[snafu(display("the control thread ended by a fault, printed above; start the process anew"))]
+    /// The control thread panicked.
+    #[snafu(display("the control thread panicked, see the message above; restart the process"))]
     ControlEnded,
-    /// Signals cannot be listened for.
-    #[snafu(display("signals cannot be listened for: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
--- a/crates/entry/src/process/mod.rs
+++ b/crates/entry/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Starting and leaving.
+//! Start and graceful stop of the process.
 
 mod entry_process;
 mod error;
--- a/crates/entry/src/process/node_settings.rs
+++ b/crates/entry/src/process/node_settings.rs
@@ -7,10 +7,10 @@
 use crate::process::ProcessError;
 use celeryhaven_clock::BootClock;
 
-/// Bits of a boot number that are random; the rest are milliseconds of the wall clock.
+/// Random bits of a boot number; the upper bits are milliseconds of the wall clock.
 const RANDOM_BITS: u32 = 20;
 
-/// A name for this start of the process that no earlier or later start has.
+/// Returns a unique incarnation for this start of the process.
 pub(crate) fn new_incarnation(settings: &EntrySettings) -> Result<Incarnation, ProcessError> {
     let seed = random_seed()?;
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -20,7 +20,7 @@
     Ok(Incarnation::new(settings.node.clone(), Boot::new(boot)))
 }
 
-/// Unpredictable bytes of the system.
+/// Returns random bytes of the system.
 pub(crate) fn random_seed() -> Result<[u8; 32], ProcessError> {
     let mut seed = [0; 32];
     getrandom::fill(&mut seed)
@@ -28,7 +28,7 @@
     Ok(seed)
 }
 
-/// What the state machine is started with.
+/// Returns the settings of the state machine.
 pub(crate) fn node_settings(settings: &EntrySettings, incarnation: Incarnation) -> NodeSettings {
     let mut node = NodeSettings::new(
         incarnation,
--- a/crates/entry/src/process/signals.rs
+++ b/crates/entry/src/process/signals.rs
@@ -7,7 +7,7 @@
 
 use crate::process::{EntryProcess, ProcessError, SignalsSnafu};
 
-/// Makes the process leave in order on the first SIGTERM or SIGINT, and end at once on the second.
+/// Starts a graceful stop on the first SIGTERM or SIGINT, and exits at once on the second.
 pub fn leave_on_signal(process: &EntryProcess, log: Logger) -> Result<(), ProcessError> {
     let mut signals = Signals::new([SIGTERM, SIGINT]).context(SignalsSnafu)?;
     let leaver = process.leaver();
--- a/crates/entry/src/process/sockets.rs
+++ b/crates/entry/src/process/sockets.rs
@@ -8,10 +8,10 @@
 use crate::process::error::WrongCertificateSnafu;
 use crate::process::{CredentialsSnafu, HttpSnafu, PeerSnafu, ProcessError};
 
-/// Room for a passed-on request beside its body, in bytes.
+/// Frame size of a delegated request beyond its body, in bytes.
 const FRAME_SLACK_BYTES: usize = 1 << 20;
 
-/// The sockets of an entry, and its settings with the ports that the system chose.
+/// The sockets of an entry, and its settings with the ports assigned by the system.
 pub(crate) struct Sockets {
     pub(crate) settings: EntrySettings,
     pub(crate) listener: TcpListener,
@@ -21,7 +21,7 @@
 }
 
 impl Sockets {
-    /// Opens them.
+    /// Opens the sockets.
     pub(crate) fn open(settings: &EntrySettings) -> Result<Self, ProcessError> {
         let credentials = credentials(settings)?;
         let limits = LinkLimits::default().with_frame_bytes(frame_bytes(settings));
@@ -38,7 +38,7 @@
     }
 }
 
-/// An advertised address, with the port that is listened on if it names none.
+/// Returns the advertised address, with the listening port if its own is 0.
 fn with_port(advertised: SocketAddr, listened: SocketAddr) -> SocketAddr {
     match advertised.port() {
         0 => SocketAddr::new(advertised.ip(), listened.port()),
--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be let in: a fixed code, a verdict, and nothing run.
+//! Invalid requests are refused with a fixed code and verdict, and nothing runs.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -23,7 +23,7 @@
     (world, entry)
 }
 
-/// Sends bytes as they are and reads until the entry closes or has answered.
+/// Sends raw bytes and reads until the entry has answered or closed the connection.
 fn raw(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -33,7 +33,7 @@
     loop {
         let read = stream.read(&mut buffer).unwrap_or_else(|error| match error.kind() {
             ErrorKind::ConnectionReset => 0,
-            other => panic!("the entry neither answered nor closed: {other}"),
+            other => panic!("expected an answer or a close within the timeout: {other}"),
         });
         if read == 0 {
             break;
@@ -104,8 +104,8 @@
     });
 }
 
-// A caller asks again with the key of an update that ran, and this time its body is cut short or too
-// large. Told "not run", it would send the update anew under another key, and it would run twice.
+// An invalid retry with the key of an update that ran is not answered "not run", which would make
+// the caller repeat the update under another key.
 #[test]
 fn call_malformed_with_key_may_have_run() {
     smol::block_on(async {
@@ -142,8 +142,8 @@
     });
 }
 
-/// One organisation must not find out which models another one has: both answers must be the same
-/// in status, headers' verdict and every word, but for the request's own identity.
+/// Forbidden and unknown models get the same answer, except for the request ID, so that an
+/// organisation cannot find out what others use.
 #[test]
 fn complete_forbidden_like_unknown() {
     smol::block_on(async {
@@ -185,7 +185,7 @@
             body.len()
         );
         assert_refused(&raw(entry.http_address(), chunked.as_bytes()), 413, "body_too_large");
-        // So long that the caller still sends when it is refused: it must be able to read why.
+        // Large enough that the caller is still sending when it is refused.
         let body = "x".repeat(30 << 20);
         let answer = raw(entry.http_address(), &post("/v1/completions", "", &body));
         assert_refused(&answer, 413, "body_too_large");
@@ -194,8 +194,8 @@
     });
 }
 
-/// A flood of headers fills memory if nothing bounds the head. A head above the limit gets an
-/// answer in words; one far above it costs its sender the connection, and others notice nothing.
+/// A head above the limit is refused, and one far above it closes the connection; neither fills
+/// memory nor affects other callers.
 #[test]
 fn complete_header_flood() {
     smol::block_on(async {
@@ -213,8 +213,7 @@
     });
 }
 
-/// A caller stops in mid-body. Without a limit its connection and its share of memory stay for
-/// ever, and enough such callers stop the node for all.
+/// An incomplete body does not hold its connection and memory beyond the read timeout.
 #[test]
 fn complete_slow_body() {
     smol::block_on(async {
@@ -229,8 +228,7 @@
     });
 }
 
-/// A caller stops in mid-head, or never sends a byte: the connection is closed, although the HTTP
-/// library itself would wait for ever.
+/// A connection with an incomplete head, or without any byte, is closed after the read timeout.
 #[test]
 fn connect_half_open_head() {
     smol::block_on(async {
@@ -243,14 +241,13 @@
     });
 }
 
-/// A caller asks for a long answer and reads none of it. Without a limit the answer stays in memory
-/// and the connection open for as long as the caller likes.
+/// A caller that does not read its answer does not hold memory and connection indefinitely.
 #[test]
 fn call_answer_not_read() {
     smol::block_on(async {
         let world = World::new(EngineSettings::new()).await;
         let entry = world.entry("entry-1", &[], "read_timeout_ms: 2000\n").await;
-        // Each of these bytes takes six in the JSON of the answer.
+        // Each byte is escaped to six bytes in the JSON answer.
         let body = "\u{1}".repeat(3 << 20);
         let mut stream = TcpStream::connect(entry.http_address()).unwrap();
         stream.write_all(&post("/services/portal/lots", "", &body)).unwrap();
@@ -261,12 +258,12 @@
         while let Ok(read @ 1..) = stream.read(&mut buffer) {
             taken += read;
         }
-        assert!(taken < 6 * body.len(), "the answer was kept until it was read");
+        assert!(taken < 6 * body.len(), "the answer was held until the caller read it");
         entry.kill();
     });
 }
 
-/// An answer that takes longer than a request may take to come in is no slow caller's.
+/// The read timeout does not apply while a caller waits for its answer.
 #[test]
 fn complete_longer_than_read_timeout() {
     smol::block_on(async {
@@ -279,7 +276,8 @@
     });
 }
 
-/// An operator's certificate on the peer port could pass requests on in any organisation's name.
+/// An operator's certificate on the peer port is refused: it could delegate requests for any
+/// organisation.
 #[test]
 fn peer_operator_certificate() {
     smol::block_on(async {
--- a/crates/entry/tests/connections.rs
+++ b/crates/entry/tests/connections.rs
@@ -1,4 +1,4 @@
-//! When a connection to a target is used again.
+//! Reuse of connections to targets.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -15,27 +15,27 @@
 use smol::net::{TcpListener, TcpStream};
 use support::{COOP_KEY, World, any, until};
 
-/// Which connection each path came in on.
-type Seen = Arc<Mutex<Vec<(usize, String)>>>;
+/// The connection number of each request path.
+type ConnectionLog = Arc<Mutex<Vec<(usize, String)>>>;
 
-/// A service that keeps connections and notes which one each request uses.
-async fn noting() -> (SocketAddr, Seen) {
+/// Starts a service that records on which connection each request arrives.
+async fn recording_service() -> (SocketAddr, ConnectionLog) {
     let listener = TcpListener::bind(any()).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let seen = Seen::default();
-    let noted = seen.clone();
+    let seen = ConnectionLog::default();
+    let recorded = seen.clone();
     smol::spawn(async move {
         let mut number = 0;
         while let Ok((stream, _)) = listener.accept().await {
             number += 1;
-            smol::spawn(serve(stream, number, noted.clone())).detach();
+            smol::spawn(serve(stream, number, recorded.clone())).detach();
         }
     })
     .detach();
     (address, seen)
 }
 
-async fn serve(mut stream: TcpStream, number: usize, seen: Seen) {
+async fn serve(mut stream: TcpStream, number: usize, seen: ConnectionLog) {
     let mut pending = String::new();
     let mut buffer = [0; 2_048];
     loop {
@@ -67,24 +67,23 @@
     caller.call(entry.http_address(), &call).await
 }
 
-/// Calls until the service is taken as up: what was not run may be asked again.
+/// Retries until the service is up.
 async fn answered(entry: &EntryProcess, method: &'static str, path: &str) {
     until("it is answered", || async { call(entry, method, path, 20_000).await.whole() }).await;
 }
 
-fn connection(seen: &Seen, path: &str) -> usize {
+fn connection(seen: &ConnectionLog, path: &str) -> usize {
     seen.lock().unwrap().iter().rev().find(|(_, found)| found == path).unwrap().0
 }
 
-// A caller goes away, or an answer comes crossed. What is still on its way on that connection must
-// not be read as the answer to the next request. Whole answers leave their connection for others,
-// but never for what may run only once: the target may be closing it right now.
+// A connection is reused only after a complete answer, so that a late answer is never read as that
+// of the next request, and never for a non-idempotent request.
 #[test]
 fn connection_after_each_end() {
     smol::block_on(async {
         let world = World::new(EngineSettings::new()).await;
         let entry = world.entry("entry-1", &[], "").await;
-        let (address, seen) = noting().await;
+        let (address, seen) = recording_service().await;
         world.put("config/current", &world.config_with_plain(8, address)).await;
         until("the change is in force", || async {
             entry.metrics().process.config_number.get() == 8
@@ -92,16 +91,32 @@
         .await;
         answered(&entry, "GET", "/a").await;
         answered(&entry, "GET", "/b").await;
-        assert_eq!(connection(&seen, "/a"), connection(&seen, "/b"), "it is kept");
+        assert_eq!(
+            connection(&seen, "/a"),
+            connection(&seen, "/b"),
+            "reused after a complete answer"
+        );
         answered(&entry, "POST", "/update").await;
-        assert_ne!(connection(&seen, "/update"), connection(&seen, "/b"), "an update has its own");
+        assert_ne!(
+            connection(&seen, "/update"),
+            connection(&seen, "/b"),
+            "not reused for an update"
+        );
         answered(&entry, "GET", "/c").await;
         assert!(!call(&entry, "GET", "/slow", 200).await.whole());
         answered(&entry, "GET", "/d").await;
-        assert_ne!(connection(&seen, "/d"), connection(&seen, "/slow"), "its caller went");
+        assert_ne!(
+            connection(&seen, "/d"),
+            connection(&seen, "/slow"),
+            "not reused after a disconnect"
+        );
         assert!(!call(&entry, "GET", "/crossed", 20_000).await.whole());
         answered(&entry, "GET", "/e").await;
-        assert_ne!(connection(&seen, "/e"), connection(&seen, "/crossed"), "it came crossed");
+        assert_ne!(
+            connection(&seen, "/e"),
+            connection(&seen, "/crossed"),
+            "not reused after a foreign answer"
+        );
         entry.kill();
     });
 }
--- a/crates/entry/tests/errors_page.rs
+++ b/crates/entry/tests/errors_page.rs
@@ -1,4 +1,4 @@
-//! The page of errors and the codes agree.
+//! The error page matches the refusal codes.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -6,7 +6,7 @@
 
 use celeryhaven_types::RefusalCode;
 
-/// Every code there is: the reader of an unknown one names all it would accept.
+/// Returns all codes, taken from the deserialization error of an unknown one.
 fn all_codes() -> Vec<String> {
     let error = serde_json::from_str::<RefusalCode>("\"?\"").unwrap_err().to_string();
     let (_, expected) = error.split_once("expected one of ").unwrap();
--- a/crates/entry/tests/failures.rs
+++ b/crates/entry/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What callers see when targets fail.
+//! Answers to callers when targets fail.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -32,9 +32,8 @@
     world.fleet.runs().await.values().flat_map(|log| log.runs()).collect()
 }
 
-// A caller reads a stream when a VM of the replica dies. It must see one stream with every token
-// once: the entry goes on at another replica from the token it has delivered last. Cause: a replica
-// dies with any of its VMs.
+// A stream is resumed at another replica when a member fails: every token is delivered exactly
+// once.
 #[test]
 fn stream_member_dies() {
     smol::block_on(async {
@@ -53,13 +52,13 @@
         let (reply, ()) = smol::future::zip(reading, killing).await;
         assert!(reply.whole(), "{reply:?}");
         let replicas: BTreeSet<_> = runs(&world).await.into_iter().map(|run| run.replica).collect();
-        assert_eq!(replicas.len(), 2, "the stream did not go on elsewhere");
+        assert_eq!(replicas.len(), 2, "expected the stream to resume at another replica");
         assert!(metric(&entry, "celeryhaven_retries_total") >= 1.0);
         entry.kill();
     });
 }
 
-// An engine cuts a stream in the middle although it lives. The caller sees no gap and no repeat.
+// A stream interrupted by a live engine is resumed without a gap or a repeated token.
 #[test]
 fn stream_cut_in_the_middle() {
     smol::block_on(async {
@@ -75,9 +74,8 @@
     });
 }
 
-// An engine answers with another request's identity. The caller must never see that answer: it is
-// tried elsewhere, and if nobody answers rightly the caller is told that it may have run. It is told
-// "not run" only if no engine saw it.
+// An answer with the ID of another request never reaches the caller, and the verdict is "not run"
+// only if no engine received the request.
 #[test]
 fn answer_crossed() {
     smol::block_on(async {
@@ -97,8 +95,7 @@
     });
 }
 
-// A caller closes its connection in the middle of a stream. The engine must stop: tokens that
-// nobody reads take slots from others. Cause: nothing tells the engine unless the entry does.
+// The run of a disconnected caller is cancelled at the engine, so that it does not hold a slot.
 #[test]
 fn caller_goes_away() {
     smol::block_on(async {
@@ -130,8 +127,7 @@
     });
 }
 
-// A lot update runs and its answer is lost. A second run would show stock that is not there, so the
-// caller is told that it may have run, and the service sees one run.
+// An update whose answer is lost is reported as "may have run" and is not run again.
 #[test]
 fn update_answer_lost() {
     smol::block_on(async {
@@ -148,7 +144,7 @@
     });
 }
 
-// A service refuses an update as not run. It may be sent again, and runs once.
+// An update that a service refused as not run may be retried, and runs at most once.
 #[test]
 fn update_refused_as_not_run() {
     smol::block_on(async {
@@ -163,7 +159,7 @@
     });
 }
 
-// Engines refuse as not admitted. The request was not run and the caller may be told so.
+// A request that every engine refuses as not admitted is reported as "not run".
 #[test]
 fn complete_refused_everywhere() {
     smol::block_on(async {
@@ -178,15 +174,15 @@
     });
 }
 
-/// A service that reads a request, sends these bytes and closes.
-async fn cutting(answer: &'static str) -> (SocketAddr, Task<()>) {
+/// Starts a service that reads a request, sends these bytes and closes the connection.
+async fn truncating_service(answer: &'static str) -> (SocketAddr, Task<()>) {
     let listener = TcpListener::bind(any()).await.unwrap();
     let address = listener.local_addr().unwrap();
     let serving = smol::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut request = Vec::new();
             let mut buffer = [0; 2_048];
-            // To its end: a close with unread bytes is a reset, which cannot be taken for an end.
+            // Reads to the end, because a close with unread bytes would be a reset.
             while !request.ends_with(b"\r\n\r\n3") {
                 match stream.read(&mut buffer).await {
                     Ok(read @ 1..) => request.extend_from_slice(&buffer[..read]),
@@ -201,7 +197,7 @@
     (address, serving)
 }
 
-/// Calls until the service is taken as up: what was not run may be asked again.
+/// Retries until the service is up.
 async fn call_once_up(entry: &EntryProcess) -> Reply {
     let caller = Caller::new(COOP_KEY);
     let call = PlainCall::new("POST", "/services/portal/lots").with_body("3");
@@ -215,8 +211,7 @@
     }
 }
 
-// A service dies in the middle of an answer. A caller must never take the piece for the whole: a
-// lot list that ends early reads like an empty shelf. Cause: a body's end can look like a close.
+// A truncated answer of a service never reaches the caller as a complete one.
 #[test]
 fn answer_cut_short() {
     smol::block_on(async {
@@ -231,7 +226,7 @@
             "",
         ];
         for (number, answer) in (8..).zip(answers) {
-            let (address, _serving) = cutting(answer).await;
+            let (address, _serving) = truncating_service(answer).await;
             world.put("config/current", &world.config_with_plain(number, address)).await;
             let number = i64::try_from(number).unwrap();
             until("the change is in force", || async {
--- a/crates/entry/tests/flood.rs
+++ b/crates/entry/tests/flood.rs
@@ -1,4 +1,4 @@
-//! A flood of callers does not delay control.
+//! Load from callers does not delay the control thread.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -17,7 +17,7 @@
 const CALLERS: usize = 16;
 const WINDOW: Duration = Duration::from_secs(3);
 
-/// Control work done in one window.
+/// Work of the control thread in one measurement window.
 #[derive(Debug)]
 struct Window {
     ticks: f64,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Asks over one connection as fast as it is answered; each request passes the control thread.
+/// Sends requests back to back on one connection; each one passes the control thread.
 fn flood(address: SocketAddr, stop: &AtomicBool, answered: &AtomicU64) {
     let body = r#"{"model":"nothing","prompt":"flood"}"#;
     let request = format!(
@@ -79,9 +79,8 @@
     }
 }
 
-// All devices ask at once, faster than the entry answers. If control waited behind them, members'
-// reports would grow old, whole replicas would drop out, and the wall would find fewer of them.
-// Both windows are of the same run; only their ratio is judged.
+// A burst of requests beyond the capacity of the entry must not delay polls, or reports expire and
+// whole replicas drop out. Only the ratio of the two windows is checked.
 #[test]
 fn control_under_flood() {
     smol::block_on(async {
@@ -106,7 +105,10 @@
         assert!(flooded.polls > 0.7 * quiet.polls, "{quiet:?} {flooded:?}");
         assert!(flooded.late_share() < quiet.late_share() + 0.2, "{quiet:?} {flooded:?}");
         assert_eq!(entry.metrics().replicas_whole.get(), 2);
-        assert!(requests as f64 > 20.0 * quiet.ticks, "too weak a flood: {requests}");
+        assert!(
+            requests as f64 > 20.0 * quiet.ticks,
+            "load too low for this test: {requests} requests"
+        );
         entry.kill();
     });
 }
--- a/crates/entry/tests/forward.rs
+++ b/crates/entry/tests/forward.rs
@@ -1,4 +1,4 @@
-//! The gate before the first byte, and the check of streamed events.
+//! The gate before the first byte, and the validation of streamed events.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -26,11 +26,11 @@
     assert!(gate.permit_write().is_ok() && gate.permit_write().is_ok());
     assert_eq!((gate.progress(), sent.load(Ordering::SeqCst)), (Progress::Sent, 1));
     gate.stop();
-    assert_eq!(gate.progress(), Progress::Sent, "what was sent can not become unsent");
+    assert_eq!(gate.progress(), Progress::Sent, "a stop must not undo the first byte");
 }
 
-// The process is paused between the decision to send and the first byte, and the caller has long
-// been told "not run". No byte may leave after the wake, not on a second try either.
+// After a pause beyond the time to send, no byte is sent, because the caller may already have been
+// answered "not run".
 #[test]
 fn gate_expired() {
     let (gate, sent) = counting(TimeMs::new(1));
@@ -38,7 +38,8 @@
     assert_eq!((gate.progress(), sent.load(Ordering::SeqCst)), (Progress::Expired, 0));
 }
 
-// An attempt is cancelled while its connection opens. "Not run" is said, so nothing may leave.
+// An attempt that is cancelled while it connects sends nothing, because it is reported as "not
+// run".
 #[test]
 fn gate_stopped_before_sent() {
     let (gate, sent) = counting(NEVER);
@@ -47,8 +48,8 @@
     assert_eq!((gate.progress(), sent.load(Ordering::SeqCst)), (Progress::Stopped, 0));
 }
 
-// Stop and first byte race on two threads: either the byte left and the attempt may have run, or it
-// did not and never will. Both at once would let "not run" be said of a request that runs.
+// A stop and the first byte race: exactly one of them wins, so that a request that was sent is
+// never reported as "not run".
 #[test]
 fn gate_stop_races_sending() {
     for _ in 0..2_000 {
@@ -91,8 +92,8 @@
     }
 }
 
-// An answer arrives crossed or late: another request's event, a token twice, a gap, an error in the
-// stream, or something that is no event at all. None of it may reach the caller.
+// Events of another request, repeated or missing tokens, errors and malformed events never reach
+// the caller.
 #[test]
 fn checker_foreign_events() {
     let id = RequestId::new("r-1");
--- a/crates/entry/tests/hanging.rs
+++ b/crates/entry/tests/hanging.rs
@@ -1,4 +1,4 @@
-//! Engines that hang after the end mark, and callers that send while they wait.
+//! Engines that hang after the end mark, and callers that send while they wait for an answer.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -17,7 +17,7 @@
 use smol::net::TcpStream;
 use support::{COOP_KEY, World, any, metric, until};
 
-/// Reports as a real member does, but never ends the connection of an answer.
+/// An engine that reports its status, and never closes the connection of an answer.
 struct Hanging {
     member: SocketAddr,
     asked: Arc<AtomicU32>,
@@ -40,9 +40,8 @@
     }
 }
 
-// An engine sends the end mark and hangs, with its connection open. The caller has its whole answer
-// at the mark. If the entry waited for the connection's end it would count the answer as broken and
-// try it elsewhere, and the caller would read tokens after the mark.
+// A stream is complete at its end mark: an engine that hangs afterwards causes neither a failed
+// attempt nor a retry.
 #[test]
 fn stream_hangs_after_done() {
     smol::block_on(async {
@@ -70,15 +69,14 @@
         assert_eq!(answer.matches("data: ").count(), 2, "{answer}");
         assert!(answer.contains("data: [DONE]\n\n"), "{answer}");
         smol::Timer::after(Duration::from_millis(1_000)).await;
-        assert_eq!(asked.load(Ordering::SeqCst), 1, "it was tried again");
+        assert_eq!(asked.load(Ordering::SeqCst), 1, "expected one attempt");
         let line = r#"celeryhaven_requests_total{organisation="coop",verdict="answered",code=""}"#;
         until("it is counted", || async { metric(&entry, line) >= 1.0 }).await;
         entry.kill();
     });
 }
 
-// A caller asks, and sends on and on while it waits for its answer. What it sends must wait in its
-// own socket and not in the entry's memory.
+// Bytes that a caller sends while it waits for its answer do not accumulate in the entry's memory.
 #[test]
 fn caller_sends_while_waiting() {
     smol::block_on(async {
--- a/crates/entry/tests/keys.rs
+++ b/crates/entry/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Request keys: a second try never runs twice, wherever it lands.
+//! Request keys: a retry never runs an update twice, at whichever entry it arrives.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -40,8 +40,8 @@
     });
 }
 
-// A device sends an update with a key of entry 1, gets no answer in time and asks entry 2. Entry 2
-// must not run it: it passes it on to entry 1, which gives the answer of the one run.
+// A retry at another entry is delegated to the issuer of the key, which returns the answer of the
+// first run.
 #[test]
 fn update_passed_on() {
     smol::block_on(async {
@@ -66,8 +66,7 @@
     });
 }
 
-// The entry that issued the key dies after the update ran. Nobody can tell any more whether it ran,
-// so another entry says "may have run" and never runs it.
+// After the loss of the issuer, another entry answers "may have run" and does not run the update.
 #[test]
 fn update_issuer_gone() {
     smol::block_on(async {
@@ -85,8 +84,7 @@
     });
 }
 
-// The answer to an update is lost and the device repeats it with the same key: one run, and the
-// honest verdict both times.
+// A retry of an update whose answer was lost gets "may have run" again and does not run.
 #[test]
 fn update_repeated_after_lost_answer() {
     smol::block_on(async {
@@ -104,8 +102,7 @@
     });
 }
 
-// The answer to an update is long. It is not held in memory for a repeat, which is told "may have
-// run"; it does not run again.
+// An answer above the size limit is not cached: a retry gets "may have run" and does not run.
 #[test]
 fn update_long_answer_not_kept() {
     smol::block_on(async {
@@ -121,8 +118,7 @@
     });
 }
 
-// Answers that are kept for a repeated key must not fill the memory. When the kept answer had to
-// go, the repeat is told "may have run"; it does not run again.
+// The answer cache is bounded: a retry of an evicted answer gets "may have run" and does not run.
 #[test]
 fn update_kept_answer_dropped() {
     smol::block_on(async {
--- a/crates/entry/tests/leaving.rs
+++ b/crates/entry/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nobody off.
+//! A graceful stop interrupts no request.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -12,8 +12,8 @@
 use celeryhaven_stand_ins::engine::EngineSettings;
 use support::{COOP_KEY, World, any, get_status, metric, until};
 
-// An entry VM is to be replaced while a caller reads a stream. The stream must end whole; callers
-// that still hold an old address answer must be served; new answers name the other entry only.
+// A leaving entry completes its streams and serves callers with an old address answer, while new
+// address answers name only the other entry.
 #[test]
 fn leave_during_stream() {
     smol::block_on(async {
@@ -46,8 +46,8 @@
     });
 }
 
-// Callers ask for addresses all the time while an entry leaves. One question comes after the control
-// thread's last look at its messages. Its caller must not wait without end, and the process must end.
+// A query that arrives after the control thread has stopped blocks neither its caller nor the exit
+// of the process.
 #[test]
 fn leave_while_asked() {
     smol::block_on(async {
@@ -68,7 +68,10 @@
             smol::Timer::after(Duration::from_secs(30)).await;
             false
         };
-        assert!(smol::future::or(left, late).await, "the entry has not ended, or a caller waits");
+        assert!(
+            smol::future::or(left, late).await,
+            "the entry did not exit in time, or a caller is still waiting"
+        );
     });
 }
 
@@ -87,13 +90,13 @@
     }
 }
 
-// The same as a process: SIGTERM in mid-stream, and it exits with code 0 after the stream's end.
+// SIGTERM during a stream: the process exits with code 0 after the stream is complete.
 #[test]
 fn leave_on_sigterm() {
     smol::block_on(async {
         let world = World::new(EngineSettings::new().with_decode_us(10_000)).await;
         let (mut process, here) = start_process(&world).await;
-        // Idle kept connections must not hold the process up.
+        // Idle connections must not delay the exit.
         let caller = Caller::new(COOP_KEY).with_kept_connections();
         let ask = Ask::new("draft", "long", 300);
         let reading = caller.complete(here, &ask);
@@ -110,7 +113,7 @@
 
 /// Starts the program on a free port and waits until it serves.
 ///
-/// The port may be taken by another between its choice and the start; then another one is chosen.
+/// Retries with another port if the port is taken before the start.
 async fn start_process(world: &World) -> (Process, SocketAddr) {
     loop {
         let here = TcpListener::bind(any()).unwrap().local_addr().unwrap();
@@ -124,7 +127,10 @@
         let caller = Caller::new(COOP_KEY);
         let start = Instant::now();
         while process.0.try_wait().unwrap().is_none() {
-            assert!(start.elapsed() < Duration::from_secs(30), "it does not serve");
+            assert!(
+                start.elapsed() < Duration::from_secs(30),
+                "the process did not serve a request within 30 s"
+            );
             if caller.complete(here, &Ask::new("draft", "probe", 1)).await.whole() {
                 return (process, here);
             }
--- a/crates/entry/tests/once_processes.rs
+++ b/crates/entry/tests/once_processes.rs
@@ -1,4 +1,4 @@
-//! At most once with entries as real processes that are stopped, continued and killed.
+//! At-most-once execution with entry processes that are stopped, continued and killed.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -13,7 +13,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use support::{COOP_KEY, World, any, get_status, until};
 
-/// An entry as a process of its own, on the addresses of its settings.
+/// An entry process on fixed addresses.
 struct Entry {
     child: Child,
     http: SocketAddr,
@@ -24,7 +24,7 @@
 impl Entry {
     /// Starts an entry and waits until it can reach the plain service.
     async fn start(world: &World, name: &str, seeds: &[SocketAddr]) -> Self {
-        // A process that is started anew has to answer where it did before.
+        // Fixed ports, so that a restarted process has the same addresses.
         let (http, peer) = (free_tcp(), free_udp());
         let text = world.settings(name, http, seeds, "");
         let text = text.replace("peer_listen: 127.0.0.1:0", &format!("peer_listen: {peer}"));
@@ -33,8 +33,8 @@
         Self::run(world, name, text).await
     }
 
-    /// Starts it anew on the same addresses: another boot that knows nothing.
-    async fn start_anew(mut self, world: &World, name: &str) -> Self {
+    /// Kills the process and restarts it on the same addresses, with a new boot and empty state.
+    async fn restart(mut self, world: &World, name: &str) -> Self {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         let text = self.text.clone();
@@ -98,11 +98,11 @@
     std::net::UdpSocket::bind(any()).unwrap().local_addr().unwrap()
 }
 
-/// Two entries that have met: the second passes keys of the first on.
-async fn two(world: &World) -> (Entry, Entry) {
+/// Starts two entries and waits until the second delegates requests with keys of the first.
+async fn connected_entries(world: &World) -> (Entry, Entry) {
     let first = Entry::start(world, "entry-1", &[]).await;
     let second = Entry::start(world, "entry-2", &[first.peer]).await;
-    until("the entries have met", || async {
+    until("the entries are connected", || async {
         let key = first.key().await;
         second.update(&key, 10_000).await.whole()
     })
@@ -115,14 +115,13 @@
     runs.iter().filter(|run| run.idempotency_key.as_deref() == Some(key)).count()
 }
 
-// The entry that issued the key is frozen when a device asks another entry. That one cannot know
-// whether it ran, and says so. The frozen entry wakes; the device tries again until it has its
-// answer. The update has run once.
+// A retry at another entry gets "may have run" while the issuer is paused; after the issuer
+// continues, a retry is answered and the update has run once.
 #[test]
 fn once_issuer_stopped_and_continued() {
     smol::block_on(async {
         let world = World::new(EngineSettings::new()).await;
-        let (first, second) = two(&world).await;
+        let (first, second) = connected_entries(&world).await;
         let key = first.key().await;
         first.signal(Signal::STOP);
         let reply = second.update(&key, 1_500).await;
@@ -135,13 +134,12 @@
     });
 }
 
-// The entry that issued the key is frozen while the update runs, for longer than its deadline, and
-// wakes. Whatever it says then, no retry anywhere runs the update again.
+// No retry runs an update again after its issuer was paused beyond the deadline during the run.
 #[test]
 fn once_issuer_stopped_while_running() {
     smol::block_on(async {
         let world = World::new(EngineSettings::new()).await;
-        let (first, second) = two(&world).await;
+        let (first, second) = connected_entries(&world).await;
         let key = first.key().await;
         world.plain.set_faults(PlainFaults { slow_ms: 500, ..PlainFaults::default() });
         let freezing = async {
@@ -162,13 +160,12 @@
     });
 }
 
-// The entry that issued the key is killed while the update runs, and starts anew at the same
-// addresses. Neither it nor the other entry knows what became of the update; neither runs it.
+// After the issuer was killed during the run and restarted, no entry runs the update again.
 #[test]
 fn once_issuer_killed_and_started_anew() {
     smol::block_on(async {
         let world = World::new(EngineSettings::new()).await;
-        let (first, second) = two(&world).await;
+        let (first, second) = connected_entries(&world).await;
         let key = first.key().await;
         world.plain.set_faults(PlainFaults { slow_ms: 400, ..PlainFaults::default() });
         let killing = async {
@@ -177,7 +174,7 @@
         };
         let (here, ()) = smol::future::zip(first.update(&key, 5_000), killing).await;
         assert!(!here.whole(), "{here:?}");
-        let first = first.start_anew(&world, "entry-1").await;
+        let first = first.restart(&world, "entry-1").await;
         for entry in [&second, &first, &second] {
             let reply = entry.update(&key, 5_000).await;
             assert_eq!(reply.outcome, Outcome::Refused, "{reply:?}");
@@ -187,13 +184,13 @@
     });
 }
 
-// Devices send the same update to two entries at the same moment, under keys of their own. Each
-// pair gets one answer from one run.
+// The same update with a key of the caller's own, sent to two entries at once, runs once and gets
+// one answer.
 #[test]
 fn once_own_keys_at_two_entries() {
     smol::block_on(async {
         let world = World::new(EngineSettings::new()).await;
-        let (first, second) = two(&world).await;
+        let (first, second) = connected_entries(&world).await;
         for number in 0..20 {
             let key = format!("quote-{number}");
             let pair =
--- a/crates/entry/tests/path.rs
+++ b/crates/entry/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: a caller, an entry, targets.
+//! The path of a request from a caller through an entry to targets.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -43,7 +43,7 @@
         let call = PlainCall::new("POST", "/services/portal/lots/7").with_body("{\"kg\":3}");
         let reply = caller.call(entry.http_address(), &call).await;
         assert!(reply.whole(), "{reply:?}");
-        // Longer than what is held back until it is whole.
+        // Above the size up to which an answer is buffered whole.
         let body = "\u{1}".repeat(1_400_000);
         let call = PlainCall::new("POST", "/services/portal/lots/8").with_body(body);
         let reply = caller.call(entry.http_address(), &call).await;
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small platform for tests: stand-ins, two organisations, two replicas, entries in this process.
+//! Test platform: stand-ins, two organisations, two replicas, entries in this process.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
@@ -30,7 +30,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The outside systems of one test.
+/// The external systems of one test.
 pub struct World {
     pub objects: Server,
     pub vm_list: Server,
@@ -70,7 +70,7 @@
         world
     }
 
-    /// Starts an entry and waits until it is ready and sees both replicas.
+    /// Starts an entry and waits until it is ready and both replicas are up.
     pub async fn entry(&self, name: &str, seeds: &[SocketAddr], more: &str) -> EntryProcess {
         let process = self.start(name, seeds, more);
         until("the entry is ready", || get_status(process.http_address(), "/readyz", 200)).await;
@@ -86,7 +86,7 @@
         EntryProcess::start(&settings, Logger::root(Discard, o!())).unwrap()
     }
 
-    /// The text of an entry's settings; port 0 takes a free one.
+    /// Returns the settings of an entry as YAML; port 0 selects a free port.
     pub fn settings(
         &self,
         name: &str,
@@ -110,7 +110,7 @@
         )
     }
 
-    /// Writes an object, replacing what is there.
+    /// Writes an object, replacing an existing one.
     pub async fn put(&self, key: &str, value: &Value) {
         let client = trillium_client::Client::new(trillium_smol::ClientConfig::new());
         let url = format!("http://{}/objects/{key}", self.objects.address());
@@ -125,7 +125,7 @@
         assert_eq!(written.status().map(|status| status as u16), Some(200), "{key}");
     }
 
-    /// Shows the engines, the plain service and some entries in the VM list.
+    /// Writes the engines, the plain service and the given entries into the VM list.
     pub async fn write_vm_list(&self, entries: &[(&str, SocketAddr)]) {
         let engines =
             self.engines.iter().map(|(name, address)| line(name, "engine", *address, Some("d-1")));
@@ -136,7 +136,7 @@
         Caller::new("").send("PUT", &url, Some(lines)).await.unwrap();
     }
 
-    /// Orders VMs to form a replica and waits until they have.
+    /// Orders VMs to form a replica and waits until it is formed.
     pub async fn join(&self, replica: &str, generation: u64, vms: &[&str]) {
         let caller = Caller::new("");
         let members: Vec<SocketAddr> = vms.iter().map(|vm| self.engines[*vm]).collect();
@@ -165,7 +165,7 @@
         self.config_with_plain(7, self.plain_server.address())
     }
 
-    /// A configuration whose plain service answers at an address.
+    /// Returns a configuration with the plain service at this address.
     pub fn config_with_plain(&self, number: u64, plain: SocketAddr) -> Value {
         let deployment = |name: &str, model: &str, organisations: Value| {
             json!({
@@ -224,22 +224,22 @@
     })
 }
 
-/// Waits for a condition, generously.
+/// Waits up to 30 s for a condition.
 pub async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
     let start = Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < Duration::from_secs(30), "not in time: {what}");
+        assert!(start.elapsed() < Duration::from_secs(30), "not reached within 30 s: {what}");
         smol::Timer::after(Duration::from_millis(20)).await;
     }
 }
 
-/// Whether a path is answered with a status.
+/// Whether a path is answered with this status.
 pub async fn get_status(address: SocketAddr, path: &str, status: u16) -> bool {
     let url = format!("http://{address}{path}");
     Caller::new("").send("GET", &url, None).await.is_some_and(|(found, _)| found == status)
 }
 
-/// What an entry's metrics say of one line.
+/// Returns the value of one line of an entry's metrics.
 pub fn metric(process: &EntryProcess, line: &str) -> f64 {
     let text = process.metrics().process.encode();
     let found = text.lines().find_map(|found| found.strip_prefix(line)?.trim().parse().ok());
