--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -13,8 +13,8 @@
 use crate::exchange::Exchange;
 use crate::forward::conversation::{Conversation, Outcome};
 use crate::forward::forwarder::{Forwarder, Target};
-use crate::forward::gate::{Gate, Progress};
 use crate::forward::on_sent::OnSent;
+use crate::forward::send_gate::{Progress, SendGate};
 
 /// How long a target may take to acknowledge a cancel order.
 ///
@@ -31,7 +31,7 @@
     cancelled: Receiver<()>,
 ) {
     let reporter = Reporter { forwarder: forwarder.clone(), exchange: exchange.clone(), attempt };
-    let gate = Arc::new(Gate::new(target.send_before, reporter.clone()));
+    let gate = Arc::new(SendGate::new(target.send_before, reporter.clone()));
     let conversation = Conversation::new(&forwarder, &exchange, &target, &gate, &reporter);
     let stopped = async {
         let _ = cancelled.recv().await;
--- a/crates/entry/src/forward/connector.rs
+++ b/crates/entry/src/forward/connector.rs
@@ -10,13 +10,13 @@
 use trillium_smol::{ClientConfig, SmolRuntime};
 
 use crate::forward::attempt::Reporter;
-use crate::forward::gate::{Gate, GatedTransport};
 use crate::forward::idle::IdleConnections;
+use crate::forward::send_gate::{GatedTransport, SendGate};
 
 /// Opens the connection of one attempt.
 pub(crate) struct GatedConnector {
     pub(crate) address: SocketAddr,
-    pub(crate) gate: Arc<Gate<Reporter>>,
+    pub(crate) gate: Arc<SendGate<Reporter>>,
     pub(crate) idle: Arc<IdleConnections>,
     /// Whether an idle connection may be used.
     ///
--- a/crates/entry/src/forward/conversation.rs
+++ b/crates/entry/src/forward/conversation.rs
@@ -14,9 +14,9 @@
 use crate::forward::connector::GatedConnector;
 use crate::forward::events::EventChecker;
 use crate::forward::forwarder::{Forwarder, Target};
-use crate::forward::gate::Gate;
 use crate::forward::progress::UnreportedTokens;
 use crate::forward::refusals::is_engine_refusal;
+use crate::forward::send_gate::SendGate;
 use celeryhaven_clock::BootClock;
 
 /// Maximum size of an answer that is buffered whole, in bytes; longer ones are streamed.
@@ -48,7 +48,7 @@
     exchange: &'a Exchange,
     forwarder: &'a Forwarder,
     target: &'a Target,
-    gate: &'a Arc<Gate<Reporter>>,
+    gate: &'a Arc<SendGate<Reporter>>,
     reporter: &'a Reporter,
 }
 
@@ -57,7 +57,7 @@
         forwarder: &'a Forwarder,
         exchange: &'a Exchange,
         target: &'a Target,
-        gate: &'a Arc<Gate<Reporter>>,
+        gate: &'a Arc<SendGate<Reporter>>,
         reporter: &'a Reporter,
     ) -> Self {
         Self { exchange, forwarder, target, gate, reporter }
@@ -151,16 +151,16 @@
             let Some(Ok(read)) = self.with_stall_timeout(body.read(&mut buffer)).await else {
                 return Outcome::Failed;
             };
-            let Ok(whole) = checker.push(&buffer[..read]) else { return Outcome::Failed };
-            if whole.tokens > 0 && !std::mem::replace(&mut started, true) {
+            let Ok(events) = checker.push(&buffer[..read]) else { return Outcome::Failed };
+            if events.tokens > 0 && !std::mem::replace(&mut started, true) {
                 // Not at the head: engines may send it long before the first token.
                 self.start();
             }
-            if whole.tokens > 0 {
-                self.exchange.deliver(AnswerPart::Data(whole.bytes)).await;
-                unreported.add(whole.tokens);
+            if events.tokens > 0 {
+                self.exchange.deliver(AnswerPart::Data(events.bytes)).await;
+                unreported.add(events.tokens);
             }
-            if whole.done {
+            if events.done {
                 self.exchange.deliver(AnswerPart::Data(DONE.to_vec())).await;
                 drop(unreported);
                 self.finish();
--- a/crates/entry/src/forward/events.rs
+++ b/crates/entry/src/forward/events.rs
@@ -10,7 +10,7 @@
 
 /// Complete events found in a chunk of a stream.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// The events unchanged and in order, without the end mark.
     pub bytes: Vec<u8>,
     /// Number of tokens in the events.
@@ -21,7 +21,7 @@
 
 /// The stream belongs to another request or is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Foreign;
+pub struct InvalidStream;
 
 /// Splits a stream of server-sent events into complete events and validates each.
 ///
@@ -58,49 +58,49 @@
     }
 
     /// Adds received bytes and returns the events that they complete.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<WholeEvents, Foreign> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<CompleteEvents, InvalidStream> {
         self.pending.extend_from_slice(bytes);
-        let mut whole = WholeEvents::default();
+        let mut complete = CompleteEvents::default();
         let mut start = 0;
-        while let Some(length) = find(&self.pending[start..], END).filter(|_| !whole.done) {
+        while let Some(length) = find(&self.pending[start..], END).filter(|_| !complete.done) {
             let event = &self.pending[start..start + length];
             start += length + END.len();
             match data_of(event)? {
                 None => {}
-                Some(DONE) => whole.done = true,
+                Some(DONE) => complete.done = true,
                 Some(data) => {
                     check(data, self.id, self.next_index)?;
                     self.next_index += 1;
-                    whole.tokens += 1;
-                    whole.bytes.extend_from_slice(event);
-                    whole.bytes.extend_from_slice(END);
+                    complete.tokens += 1;
+                    complete.bytes.extend_from_slice(event);
+                    complete.bytes.extend_from_slice(END);
                 }
             }
         }
         self.pending.drain(..start);
         match self.pending.len() > EVENT_BYTES_MAX {
-            true => Err(Foreign),
-            false => Ok(whole),
+            true => Err(InvalidStream),
+            false => Ok(complete),
         }
     }
 }
 
-fn check(data: &str, id: &RequestId, next_index: u64) -> Result<(), Foreign> {
-    let event = serde_json::from_str::<Event<'_>>(data).map_err(|_| Foreign)?;
+fn check(data: &str, id: &RequestId, next_index: u64) -> Result<(), InvalidStream> {
+    let event = serde_json::from_str::<Event<'_>>(data).map_err(|_| InvalidStream)?;
     let own = event.id.as_deref() == Some(id.as_str()) && event.index == Some(next_index);
     match own && event.error.is_none() {
         true => Ok(()),
-        false => Err(Foreign),
+        false => Err(InvalidStream),
     }
 }
 
 /// Returns the data of an event; `None` for a comment.
-fn data_of(event: &[u8]) -> Result<Option<&str>, Foreign> {
-    let text = std::str::from_utf8(event).map_err(|_| Foreign)?.trim();
+fn data_of(event: &[u8]) -> Result<Option<&str>, InvalidStream> {
+    let text = std::str::from_utf8(event).map_err(|_| InvalidStream)?.trim();
     match text.strip_prefix("data:") {
         Some(data) => Ok(Some(data.trim_start())),
         None if text.is_empty() || text.starts_with(':') => Ok(None),
-        None => Err(Foreign),
+        None => Err(InvalidStream),
     }
 }
 
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -5,13 +5,13 @@
 mod conversation;
 mod events;
 mod forwarder;
-mod gate;
 mod idle;
 mod on_sent;
 mod progress;
 mod refusals;
+mod send_gate;
 
-pub use events::{EventChecker, Foreign, WholeEvents};
+pub use events::{CompleteEvents, EventChecker, InvalidStream};
 pub(crate) use forwarder::{Forwarder, Target};
-pub use gate::{Gate, Progress};
 pub use on_sent::OnSent;
+pub use send_gate::{Progress, SendGate};
--- a/crates/entry/src/forward/gate.rs
+++ b/crates/entry/src/forward/send_gate.rs
@@ -37,13 +37,13 @@
 /// transition from [`Progress::Unsent`] happens once, by the first of sending, expiry and stopping.
 ///
 /// ```
-/// use celeryhaven_entry::forward::{Gate, Progress};
+/// use celeryhaven_entry::forward::{SendGate, Progress};
 /// use celeryhaven_types::TimeMs;
-/// let late = Gate::new(TimeMs::new(0), || {});
+/// let late = SendGate::new(TimeMs::new(0), || {});
 /// assert!(late.permit_write().is_err());
 /// assert_eq!(late.progress(), Progress::Expired);
 /// ```
-pub struct Gate<S> {
+pub struct SendGate<S> {
     send_before: TimeMs,
     clock: BootClock,
     progress: AtomicU8,
@@ -52,7 +52,7 @@
     on_sent: S,
 }
 
-impl<S: OnSent> Gate<S> {
+impl<S: OnSent> SendGate<S> {
     /// Creates a gate that permits the first byte until `send_before`, and then calls `on_sent`.
     pub fn new(send_before: TimeMs, on_sent: S) -> Self {
         Self {
@@ -118,14 +118,14 @@
     }
 }
 
-/// A connection whose first byte needs the permission of a [`Gate`].
+/// A connection whose first byte needs the permission of a [`SendGate`].
 ///
 /// It is reused only after a complete answer: otherwise the next request could read the remaining
 /// bytes of the previous answer as its own.
 pub(crate) struct GatedTransport {
     stream: TcpStream,
     address: SocketAddr,
-    gate: Arc<Gate<Reporter>>,
+    gate: Arc<SendGate<Reporter>>,
     idle: Arc<IdleConnections>,
     closed: bool,
 }
@@ -134,7 +134,7 @@
     pub(crate) fn new(
         stream: TcpStream,
         address: SocketAddr,
-        gate: Arc<Gate<Reporter>>,
+        gate: Arc<SendGate<Reporter>>,
         idle: Arc<IdleConnections>,
     ) -> Self {
         gate.hold(&stream);
--- a/crates/entry/tests/forward.rs
+++ b/crates/entry/tests/forward.rs
@@ -5,19 +5,19 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use celeryhaven_entry::forward::{EventChecker, Foreign, Gate, OnSent, Progress};
+use celeryhaven_entry::forward::{EventChecker, InvalidStream, OnSent, Progress, SendGate};
 use celeryhaven_types::{RequestId, TimeMs};
 use quickcheck::{Arbitrary, Gen};
 
 const NEVER: TimeMs = TimeMs::new(u64::MAX);
 
-fn counting(send_before: TimeMs) -> (Arc<Gate<impl OnSent>>, Arc<AtomicU32>) {
+fn counting(send_before: TimeMs) -> (Arc<SendGate<impl OnSent>>, Arc<AtomicU32>) {
     let sent = Arc::new(AtomicU32::new(0));
     let counted = sent.clone();
     let on_sent = move || {
         counted.fetch_add(1, Ordering::SeqCst);
     };
-    (Arc::new(Gate::new(send_before, on_sent)), sent)
+    (Arc::new(SendGate::new(send_before, on_sent)), sent)
 }
 
 #[test]
@@ -109,7 +109,7 @@
     ];
     for stream in foreign {
         let mut checker = EventChecker::new(&id, 3);
-        assert_eq!(checker.push(stream.as_bytes()), Err(Foreign), "{stream}");
+        assert_eq!(checker.push(stream.as_bytes()), Err(InvalidStream), "{stream}");
     }
 }
 
@@ -118,5 +118,5 @@
     let id = RequestId::new("r-1");
     let mut checker = EventChecker::new(&id, 0);
     let pieces = (0..300).map(|_| checker.push(&[b'x'; 8_192]));
-    assert!(pieces.into_iter().any(|pushed| pushed == Err(Foreign)));
+    assert!(pieces.into_iter().any(|pushed| pushed == Err(InvalidStream)));
 }
