--- a/crates/link/src/endpoint/limits.rs
+++ b/crates/link/src/endpoint/limits.rs
@@ -1,23 +1,23 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// Limits of a link, so that no peer can hold memory or a task without end.
+    /// Limits on the memory and the tasks that a peer can occupy on a link.
     #[derive(Copy)]
     pub struct LinkLimits {
-        /// Largest message, in bytes; an object of 1 MiB with its name and version fits.
+        /// Maximum message size, in bytes; the default fits a 1 MiB object with its metadata.
         pub message_bytes: usize,
-        /// Largest frame, in bytes; a request body within its own limit fits.
+        /// Maximum frame size, in bytes; must fit the largest permitted request body.
         pub frame_bytes: usize,
-        /// How long a handshake may take, in milliseconds.
+        /// Handshake timeout, in milliseconds.
         pub handshake_ms: u64,
-        /// How long a message or frame that has begun may take to come in, in milliseconds.
+        /// Timeout for receiving the rest of a started message or frame, in milliseconds.
         pub transfer_ms: u64,
-        /// How long a link without traffic is kept, in milliseconds.
+        /// Idle timeout of a link, in milliseconds.
         ///
-        /// Long enough that a prober which goes round 340 nodes, one each half second, finds its
-        /// link again (170 s): a handshake costs more than an hour of probes to that node.
+        /// Should exceed the interval between two membership probes to one node, so that probes reuse
+        /// the link instead of repeating the handshake.
         pub idle_ms: u64,
-        /// Streams that a peer may have open at once.
+        /// Maximum number of concurrent streams of each kind that a peer may open.
         pub streams: u32,
     }
 }
@@ -36,7 +36,7 @@
 }
 
 impl LinkLimits {
-    /// Sets the largest frame, in bytes.
+    /// Sets the maximum frame size, in bytes.
     pub const fn with_frame_bytes(mut self, frame_bytes: usize) -> Self {
         self.frame_bytes = frame_bytes;
         self
--- a/crates/link/src/endpoint/link_endpoint.rs
+++ b/crates/link/src/endpoint/link_endpoint.rs
@@ -8,12 +8,12 @@
 use crate::endpoint::tls::{client_config, server_config};
 use crate::error::{BindSnafu, ConnectSnafu, DialSnafu, LinkError};
 use crate::identity::{Credentials, Role};
-use crate::wire::{Link, within};
+use crate::wire::{Link, with_timeout};
 
-/// The name given in the handshake; the certificate's own name is what counts.
-const DIALLED_NAME: &str = "node.celeryhaven";
+/// Server name sent in the handshake; verification uses the name in the certificate instead.
+const SERVER_NAME: &str = "node.celeryhaven";
 
-/// A UDP socket that takes links from others and opens links to nodes.
+/// A UDP socket that accepts links and opens links to nodes.
 #[derive(Clone, Debug)]
 pub struct LinkEndpoint {
     endpoint: Endpoint,
@@ -21,7 +21,7 @@
 }
 
 impl LinkEndpoint {
-    /// Takes links of processes of one role, and opens links to nodes.
+    /// Binds a socket that accepts links from processes of one role and opens links to nodes.
     pub fn bind(
         listen: SocketAddr,
         credentials: &Credentials,
@@ -32,7 +32,7 @@
         Self::open(listen, Some(server), client_config(credentials, &limits)?, limits)
     }
 
-    /// Opens links to nodes only.
+    /// Binds a socket that opens links to nodes and accepts none.
     pub fn client(
         local: SocketAddr,
         credentials: &Credentials,
@@ -55,7 +55,7 @@
         Ok(Self { endpoint, limits })
     }
 
-    /// Where it listens.
+    /// Returns the bound address.
     pub fn local_address(&self) -> Result<SocketAddr, LinkError> {
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
         self.endpoint.local_addr().context(BindSnafu { address })
@@ -64,36 +64,36 @@
     /// Opens a link to the node at an address.
     pub async fn connect(&self, address: SocketAddr) -> Result<Link, LinkError> {
         let connecting =
-            self.endpoint.connect(address, DIALLED_NAME).context(DialSnafu { address })?;
-        let connection = within("the handshake", self.limits.handshake_ms, connecting)
+            self.endpoint.connect(address, SERVER_NAME).context(DialSnafu { address })?;
+        let connection = with_timeout("the handshake", self.limits.handshake_ms, connecting)
             .await?
             .context(ConnectSnafu { address })?;
         Link::new(connection, self.limits)
     }
 
-    /// Waits for the next one who dials; `None` once the endpoint is closed.
+    /// Waits for the next incoming connection; `None` once the endpoint is closed.
     ///
-    /// The handshake is finished by [`LinkEndpoint::handshake`], in a task of its own: one that is
-    /// slow would hold up all others.
+    /// Call [`LinkEndpoint::handshake`] in a separate task, so that a slow peer does not delay other
+    /// connections.
     pub async fn accept(&self) -> Option<Incoming> {
         self.endpoint.accept().await
     }
 
-    /// Finishes the handshake of one who dialled.
+    /// Completes the handshake of an incoming connection.
     pub async fn handshake(&self, incoming: Incoming) -> Result<Link, LinkError> {
         let address = incoming.remote_address();
-        let connection = within("the handshake", self.limits.handshake_ms, incoming)
+        let connection = with_timeout("the handshake", self.limits.handshake_ms, incoming)
             .await?
             .context(ConnectSnafu { address })?;
         Link::new(connection, self.limits)
     }
 
-    /// Closes every link at once.
+    /// Closes all links immediately.
     pub fn close(&self) {
         self.endpoint.close(0u32.into(), b"leaving");
     }
 
-    /// Links that are open or being opened.
+    /// Returns the number of links that are open or in the handshake.
     pub fn open_links(&self) -> usize {
         self.endpoint.open_connections()
     }
--- a/crates/link/src/endpoint/mod.rs
+++ b/crates/link/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! A socket that takes and opens links.
+//! A socket that accepts and opens links.
 
 mod limits;
 mod link_endpoint;
--- a/crates/link/src/error/link_error.rs
+++ b/crates/link/src/error/link_error.rs
@@ -2,7 +2,7 @@
 
 use snafu::Snafu;
 
-/// What went wrong on a link, and what to do.
+/// Error on a link.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -10,12 +10,12 @@
     /// A certificate or key file could not be read.
     #[snafu(display("{file}: cannot be read as PEM: {source}; check the file"))]
     Pem {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Cause.
         source: rustls_pki_types::pem::Error,
     },
-    /// A certificate does not name a process of this system.
+    /// A certificate does not name exactly one process of the fleet.
     #[snafu(display(
         "the certificate names neither NAME.node.celeryhaven nor NAME.operator.celeryhaven; \
          issue one that does"
@@ -24,99 +24,103 @@
     /// A certificate could not be parsed.
     #[snafu(display("the certificate cannot be parsed: {source}; issue a new one"))]
     Certificate {
-        /// Why.
+        /// Cause.
         source: webpki::Error,
     },
-    /// Keys, certificate and authority do not fit together.
+    /// Key, certificate and certificate authority are invalid or do not match.
     #[snafu(display(
         "the certificate, key and authority cannot be used: {source}; check the files"
     ))]
     Tls {
-        /// Why.
+        /// Cause.
         source: rustls::Error,
     },
-    /// The verifier of certificates could not be made.
+    /// The certificate verifier or the QUIC configuration could not be created.
     #[snafu(display("the authority cannot be used: {message}; check the file"))]
     Authority {
-        /// Why.
+        /// Cause.
         message: String,
     },
     /// The socket could not be opened.
-    #[snafu(display("{address}: cannot be listened on: {source}; choose a free address"))]
+    #[snafu(display("{address}: cannot listen: {source}; choose a free address"))]
     Bind {
-        /// Where.
+        /// Address.
         address: SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The connection could not be begun.
-    #[snafu(display("{address}: cannot be dialled: {source}"))]
+    /// The connection could not be started.
+    #[snafu(display("{address}: cannot connect: {source}"))]
     Dial {
-        /// Where.
+        /// Address.
         address: SocketAddr,
-        /// Why.
+        /// Cause.
         source: quinn::ConnectError,
     },
     /// The handshake failed.
-    #[snafu(display("{address}: the handshake failed: {source}; check both certificates"))]
+    #[snafu(display("{address}: handshake failed: {source}; check both certificates"))]
     Connect {
-        /// With whom.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Why.
+        /// Cause.
         source: quinn::ConnectionError,
     },
     /// The link is closed.
     #[snafu(display("the link is closed: {source}"))]
     Closed {
-        /// Why.
+        /// Cause.
         source: quinn::ConnectionError,
     },
-    /// Something took too long.
-    #[snafu(display("{what} took longer than {limit_ms} ms"))]
+    /// An operation timed out.
+    #[snafu(display("{operation} took longer than {limit_ms} ms"))]
     TimedOut {
-        /// What.
-        what: &'static str,
-        /// The limit, in milliseconds.
+        /// Operation that timed out.
+        operation: &'static str,
+        /// Timeout, in milliseconds.
         limit_ms: u64,
     },
     /// A message or frame is larger than the limit.
-    #[snafu(display("{found_bytes} bytes are more than the limit of {limit_bytes}"))]
+    #[snafu(display(
+        "message or frame of {found_bytes} bytes exceeds the limit of {limit_bytes} bytes"
+    ))]
     TooLarge {
-        /// Its size, in bytes.
+        /// Size found, in bytes.
         found_bytes: u64,
-        /// The limit, in bytes.
+        /// Limit, in bytes.
         limit_bytes: u64,
     },
     /// A value could not be encoded.
-    #[snafu(display("cannot be encoded: {source}"))]
+    #[snafu(display("cannot encode the value: {source}"))]
     Encode {
-        /// Why.
+        /// Cause.
         source: postcard::Error,
     },
-    /// Bytes are not the value expected.
-    #[snafu(display("cannot be decoded: {source}; the peer may run another version"))]
+    /// Received bytes could not be decoded as the expected type.
+    #[snafu(display(
+        "cannot decode the received bytes: {source}; the peer may run a different version"
+    ))]
     Decode {
-        /// Why.
+        /// Cause.
         source: postcard::Error,
     },
-    /// A stream broke while it was read.
-    #[snafu(display("the stream broke while it was read: {message}"))]
+    /// Reading from a stream failed.
+    #[snafu(display("cannot read from the stream: {message}"))]
     Read {
-        /// Why.
+        /// Cause.
         message: String,
     },
-    /// A stream broke while it was written.
-    #[snafu(display("the stream broke while it was written: {source}"))]
+    /// Writing to a stream failed.
+    #[snafu(display("cannot write to the stream: {source}"))]
     StreamWrite {
-        /// Why.
+        /// Cause.
         source: quinn::WriteError,
     },
-    /// The address failed lately and is not tried again yet.
-    #[snafu(display("{address}: failed lately; tried again in {retry_ms} ms"))]
+    /// A recent connection attempt to the address failed, and the backoff has not elapsed.
+    #[snafu(display("{address}: connection failed recently; next attempt in {retry_ms} ms"))]
     BackingOff {
-        /// Where.
+        /// Address.
         address: SocketAddr,
-        /// When, from now.
+        /// Time until the next attempt, in milliseconds.
         retry_ms: u64,
     },
 }
--- a/crates/link/src/error/mod.rs
+++ b/crates/link/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on a link.
+//! Errors of links.
 
 mod link_error;
 
--- a/crates/link/src/identity/credentials.rs
+++ b/crates/link/src/identity/credentials.rs
@@ -9,7 +9,7 @@
 use crate::error::{LinkError, PemSnafu, TlsSnafu};
 use crate::identity::Identity;
 
-/// A process's certificate and key, and the authority that signed all of them.
+/// Certificate chain and private key of a process, and the certificate authority of the fleet.
 #[derive(Debug)]
 pub struct Credentials {
     pub(crate) chain: Vec<CertificateDer<'static>>,
@@ -19,14 +19,15 @@
 }
 
 impl Credentials {
-    /// Reads them from PEM files.
+    /// Loads credentials from PEM files.
     pub fn load(certificate: &Path, key: &Path, authority: &Path) -> Result<Self, LinkError> {
         let chain = certificates(certificate)?;
-        let key = PrivateKeyDer::from_pem_file(key).context(PemSnafu { file: shown(key) })?;
+        let key =
+            PrivateKeyDer::from_pem_file(key).context(PemSnafu { file: display_path(key) })?;
         Self::new(chain, key, certificates(authority)?)
     }
 
-    /// Takes them from memory.
+    /// Creates credentials from parsed certificates and a key.
     pub fn new(
         chain: Vec<CertificateDer<'static>>,
         key: PrivateKeyDer<'static>,
@@ -39,7 +40,7 @@
         Ok(Self { chain, key, authority: Arc::new(roots), identity })
     }
 
-    /// Who this process is.
+    /// Returns the identity of this process.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
@@ -48,9 +49,9 @@
 fn certificates(file: &Path) -> Result<Vec<CertificateDer<'static>>, LinkError> {
     CertificateDer::pem_file_iter(file)
         .and_then(Iterator::collect)
-        .context(PemSnafu { file: shown(file) })
+        .context(PemSnafu { file: display_path(file) })
 }
 
-fn shown(file: &Path) -> String {
+fn display_path(file: &Path) -> String {
     file.display().to_string()
 }
--- a/crates/link/src/identity/mod.rs
+++ b/crates/link/src/identity/mod.rs
@@ -1,4 +1,4 @@
-//! Who a process is, by certificate.
+//! Certificate-based process identity.
 
 mod credentials;
 mod name;
--- a/crates/link/src/identity/name.rs
+++ b/crates/link/src/identity/name.rs
@@ -9,30 +9,31 @@
 const OPERATOR_SUFFIX: &str = ".operator.celeryhaven";
 
 state! {
-    /// What a process may do.
+    /// Role that determines the permissions of a process.
     #[derive(Copy, Eq)]
     pub enum Role {
-        /// A process of an entry VM.
+        /// A process on an entry VM.
         Node,
-        /// An operator's command.
+        /// A command run by an operator.
         Operator,
     }
 
-    /// Who a process is.
+    /// Identity of a process.
     #[derive(Eq, Hash)]
     pub enum Identity {
-        /// A process of an entry VM.
+        /// A process on an entry VM.
         Node(NodeName),
-        /// An operator's command.
+        /// A command run by an operator.
         Operator(OperatorName),
     }
 }
 
 impl Identity {
-    /// Reads the identity from a certificate's subject alternative names.
+    /// Returns the identity in a certificate's subject alternative names.
     ///
-    /// A certificate with names of both roles, or of two processes, has no identity: it could act
-    /// as either.
+    /// # Errors
+    ///
+    /// Fails if the certificate cannot be parsed, names no process, or names more than one process.
     pub fn of_certificate(certificate: &CertificateDer<'_>) -> Result<Self, LinkError> {
         let parsed = webpki::EndEntityCert::try_from(certificate).context(CertificateSnafu)?;
         let mut identities = parsed.valid_dns_names().filter_map(Self::of_dns_name);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Reads the identity from a name in a certificate.
+    /// Parses the identity from a DNS name of a certificate.
     ///
     /// ```
     /// use celeryhaven_link::{Identity, Role};
@@ -57,7 +58,7 @@
         node.or_else(|| label(OPERATOR_SUFFIX).map(|l| Self::Operator(OperatorName::new(l))))
     }
 
-    /// The name in a certificate.
+    /// Returns the DNS name for certificates.
     pub fn dns_name(&self) -> String {
         match self {
             Self::Node(name) => format!("{name}{NODE_SUFFIX}"),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// What it may do.
+    /// Returns the role.
     pub fn role(&self) -> Role {
         match self {
             Self::Node(_) => Role::Node,
--- a/crates/link/src/identity/verifier.rs
+++ b/crates/link/src/identity/verifier.rs
@@ -13,11 +13,11 @@
 use crate::error::LinkError;
 use crate::identity::{Identity, Role};
 
-/// Accepts servers that the fleet's authority signed as nodes.
+/// Accepts servers with a node certificate signed by the fleet's certificate authority.
 ///
-/// Processes dial addresses, not names, so the name is taken from the certificate itself; whoever
-/// needs a certain node compares [`Link::peer`](crate::Link::peer). Without the check of the role
-/// an operator's certificate could stand for a node, and answer in its name.
+/// Processes connect to addresses, not names, so the name is taken from the certificate itself;
+/// callers that need a specific node compare [`Link::peer`](crate::Link::peer). The role check
+/// prevents an operator's certificate from impersonating a node.
 #[derive(Debug)]
 pub(crate) struct NodeServerVerifier {
     inner: Arc<WebPkiServerVerifier>,
@@ -37,12 +37,12 @@
         &self,
         end_entity: &CertificateDer<'_>,
         intermediates: &[CertificateDer<'_>],
-        _dialled: &ServerName<'_>,
+        _server_name: &ServerName<'_>,
         ocsp_response: &[u8],
         now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
         let identity = require_role(end_entity, Role::Node)?;
-        let name = ServerName::try_from(identity.dns_name()).map_err(|_| wrong_name())?;
+        let name = ServerName::try_from(identity.dns_name()).map_err(|_| identity_rejected())?;
         self.inner.verify_server_cert(end_entity, intermediates, &name, ocsp_response, now)
     }
 
@@ -69,10 +69,10 @@
     }
 }
 
-/// Accepts clients that the fleet's authority signed for one role.
+/// Accepts clients with a certificate of one role signed by the fleet's certificate authority.
 ///
-/// A node's certificate on an operators' port, or the other way round, fails in the handshake, so
-/// a stolen certificate of one role gives nothing of the other.
+/// The handshake fails for certificates of the other role, so a stolen certificate does not grant
+/// the permissions of the other role.
 #[derive(Debug)]
 pub(crate) struct ClientRoleVerifier {
     inner: Arc<dyn ClientCertVerifier>,
@@ -134,9 +134,9 @@
     Identity::of_certificate(certificate)
         .ok()
         .filter(|identity| identity.role() == role)
-        .ok_or_else(wrong_name)
+        .ok_or_else(identity_rejected)
 }
 
-fn wrong_name() -> Error {
+fn identity_rejected() -> Error {
     Error::InvalidCertificate(CertificateError::ApplicationVerificationFailure)
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,15 +1,15 @@
 //! Mutually authenticated links between processes over QUIC.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`identity`] | who a process is, by certificate |
-//! | [`endpoint`] | a socket that takes and opens links |
+//! | [`identity`] | certificate-based process identity |
+//! | [`endpoint`] | a socket that accepts and opens links |
 //! | [`wire`] | messages and frames on a link |
-//! | [`pool`] | links to other entries, kept and reopened |
-//! | [`error`] | what can go wrong |
+//! | [`pool`] | pooled links to nodes, reopened after failures |
+//! | [`error`] | errors of links |
 //!
-//! Small messages travel as datagrams, larger ones in unidirectional streams; both may be lost. A
-//! request and its answer travel as frames (`u32` little-endian length, then postcard) in one
+//! Small messages are sent as datagrams, larger ones in unidirectional streams; both may be lost. A
+//! request and its answer are sent as frames (`u32` little-endian length, then postcard) in one
 //! bidirectional stream.
 
 pub mod endpoint;
--- a/crates/link/src/pool/backoff.rs
+++ b/crates/link/src/pool/backoff.rs
@@ -1,9 +1,8 @@
 use celeryhaven_types::TimeMs;
 
-/// Time before an address that failed is dialled again.
+/// Exponential backoff between connection attempts to an address.
 ///
-/// Doubles with each failure in a row. Without it, each message to a dead node would cost a
-/// handshake's packets, and a data centre that goes dark would cost the others their budget.
+/// Limits handshake traffic while a node or a whole data centre is unreachable.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Backoff {
     failures: u32,
@@ -11,35 +10,35 @@
 }
 
 impl Backoff {
-    /// Wait after the first failure, in milliseconds.
-    pub const FIRST_MS: u64 = 100;
-    /// Longest wait, in milliseconds: a node that returns is found within it.
-    pub const LONGEST_MS: u64 = 3_200;
+    /// Delay after the first failure, in milliseconds.
+    pub const INITIAL_DELAY_MS: u64 = 100;
+    /// Maximum delay, in milliseconds.
+    pub const DELAY_MS_MAX: u64 = 3_200;
 
-    /// Takes note of a failure.
+    /// Records a failed attempt and extends the delay.
     ///
     /// ```
     /// use celeryhaven_link::pool::Backoff;
     /// use celeryhaven_types::TimeMs;
     /// let mut backoff = Backoff::default();
-    /// backoff.failed(TimeMs::new(0));
-    /// assert_eq!(backoff.wait_ms(TimeMs::new(40)), 60);
-    /// backoff.succeeded();
-    /// assert_eq!(backoff.wait_ms(TimeMs::new(40)), 0);
+    /// backoff.record_failure(TimeMs::new(0));
+    /// assert_eq!(backoff.remaining_ms(TimeMs::new(40)), 60);
+    /// backoff.record_success();
+    /// assert_eq!(backoff.remaining_ms(TimeMs::new(40)), 0);
     /// ```
-    pub fn failed(&mut self, now: TimeMs) {
-        let wait_ms = (Self::FIRST_MS << self.failures.min(16)).min(Self::LONGEST_MS);
+    pub fn record_failure(&mut self, now: TimeMs) {
+        let delay_ms = (Self::INITIAL_DELAY_MS << self.failures.min(16)).min(Self::DELAY_MS_MAX);
         self.failures = self.failures.saturating_add(1);
-        self.until = now.after(wait_ms);
+        self.until = now.after(delay_ms);
     }
 
-    /// Takes note of a success.
-    pub fn succeeded(&mut self) {
+    /// Records a successful attempt and resets the delay.
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Time left until the address may be dialled, in milliseconds.
-    pub fn wait_ms(&self, now: TimeMs) -> u64 {
+    /// Returns the time until the next permitted attempt, in milliseconds.
+    pub fn remaining_ms(&self, now: TimeMs) -> u64 {
         self.until.since(now)
     }
 }
--- a/crates/link/src/pool/link_pool.rs
+++ b/crates/link/src/pool/link_pool.rs
@@ -9,13 +9,13 @@
 use crate::pool::Backoff;
 use crate::wire::{FrameStream, Link};
 
-/// Time without any packet back after which a link that was used counts as dead, in milliseconds.
+/// Time without a received packet after which a link in use is replaced, in milliseconds.
 ///
-/// A node that was replaced at the same address knows nothing of the old link and does not answer
-/// it; without the check every message to it would be lost until the link is idle for minutes.
-const SILENT_MS: u64 = 1_500;
+/// A node that was replaced at the same address does not answer packets of the old link, and QUIC
+/// closes it only after the idle timeout.
+const UNANSWERED_TIMEOUT_MS: u64 = 1_500;
 
-/// Links to nodes by address: opened when first needed, used again, reopened when they broke.
+/// Links to nodes by address: opened on first use, reused, and reopened after failures.
 #[derive(Clone, Debug)]
 pub struct LinkPool {
     endpoint: LinkEndpoint,
@@ -36,7 +36,7 @@
 }
 
 impl LinkPool {
-    /// A pool without links yet.
+    /// Creates an empty pool.
     pub fn new(endpoint: LinkEndpoint) -> Self {
         Self { endpoint, slots: Arc::default() }
     }
@@ -51,53 +51,53 @@
         self.link(now, address).await?.send_bytes(bytes).await
     }
 
-    /// Opens a stream for one request to the node at an address.
+    /// Opens a stream for one request and its answer to the node at an address.
     pub async fn open(&self, now: TimeMs, address: SocketAddr) -> Result<FrameStream, LinkError> {
         self.link(now, address).await?.open().await
     }
 
-    /// The link to the node at an address, opened if there is none.
+    /// Returns the link to the node at an address, opening one if necessary.
     ///
-    /// Only one dials at a time: the others wait for that link.
+    /// Concurrent callers for one address wait for a single connection attempt.
     pub async fn link(&self, now: TimeMs, address: SocketAddr) -> Result<Link, LinkError> {
         let slot = self.slots.lock().await.entry(address).or_default().clone();
         let mut slot = slot.lock().await;
-        if let Some(link) = slot.usable(now) {
+        if let Some(link) = slot.usable_link(now) {
             return Ok(link);
         }
-        let retry_ms = slot.backoff.wait_ms(now);
+        let retry_ms = slot.backoff.remaining_ms(now);
         if retry_ms > 0 {
             return Err(LinkError::BackingOff { address, retry_ms });
         }
         match self.endpoint.connect(address).await {
-            Ok(link) => Ok(slot.opened(link)),
+            Ok(link) => Ok(slot.set_link(link)),
             Err(error) => {
-                slot.backoff.failed(now);
+                slot.backoff.record_failure(now);
                 Err(error)
             }
         }
     }
 
-    /// Closes and forgets links to all addresses but those listed.
+    /// Drops the links to all addresses except those listed.
     pub async fn retain(&self, addresses: &[SocketAddr]) {
         self.slots.lock().await.retain(|address, _| addresses.contains(address));
     }
 }
 
 impl Slot {
-    fn opened(&mut self, link: Link) -> Link {
-        self.backoff.succeeded();
+    fn set_link(&mut self, link: Link) -> Link {
+        self.backoff.record_success();
         self.unanswered = None;
         self.link = Some(link.clone());
         link
     }
 
-    fn usable(&mut self, now: TimeMs) -> Option<Link> {
+    fn usable_link(&mut self, now: TimeMs) -> Option<Link> {
         let link = self.link.take_if(|link| link.is_open())?;
         let packets = link.received_packets();
         let waiting = self.unanswered.as_ref().filter(|unanswered| unanswered.packets == packets);
         match waiting {
-            Some(unanswered) if now.since(unanswered.since) > SILENT_MS => {
+            Some(unanswered) if now.since(unanswered.since) > UNANSWERED_TIMEOUT_MS => {
                 link.close();
                 self.unanswered = None;
                 return None;
--- a/crates/link/src/pool/mod.rs
+++ b/crates/link/src/pool/mod.rs
@@ -1,4 +1,4 @@
-//! Links to other entries, kept and reopened.
+//! Pooled links to nodes, reopened after failures.
 
 mod backoff;
 mod link_pool;
--- a/crates/link/src/wire/codec.rs
+++ b/crates/link/src/wire/codec.rs
@@ -9,7 +9,7 @@
     postcard::to_allocvec(message).context(EncodeSnafu)
 }
 
-/// Decodes a message of [`Link::receive_bytes`](crate::Link::receive_bytes).
+/// Decodes a message received by [`Link::receive_bytes`](crate::Link::receive_bytes).
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, LinkError> {
     postcard::from_bytes(bytes).context(DecodeSnafu)
 }
--- a/crates/link/src/wire/frames.rs
+++ b/crates/link/src/wire/frames.rs
@@ -6,7 +6,7 @@
 use crate::endpoint::LinkLimits;
 use crate::error::{DecodeSnafu, EncodeSnafu, LinkError, StreamWriteSnafu};
 use crate::wire::link::check_size;
-use crate::wire::within;
+use crate::wire::with_timeout;
 
 /// A bidirectional stream of frames: a `u32` little-endian length, then postcard.
 #[derive(Debug)]
@@ -30,31 +30,32 @@
         self.send.write_all(&body).await.context(StreamWriteSnafu)
     }
 
-    /// Says that no further frame will be sent.
+    /// Closes the sending side; the peer receives no further frame.
     pub fn finish(&mut self) -> Result<(), LinkError> {
         self.send.finish().map_err(|_| LinkError::Read { message: "already finished".into() })
     }
 
-    /// Waits for the next frame; `None` if the other end finished between two frames.
+    /// Waits for the next frame; `None` if the peer finished the stream between two frames.
     ///
-    /// A stream that ends inside a frame is an error, so a cut answer is never taken for a whole
-    /// one.
+    /// # Errors
+    ///
+    /// Fails if the stream ends within a frame, so that a truncated answer is never accepted.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<Option<T>, LinkError> {
         let Some(length) = self.receive_length().await? else { return Ok(None) };
         check_size(length, self.limits.frame_bytes)?;
         let mut body = vec![0; length];
-        within("a frame", self.limits.transfer_ms, self.receive.read_exact(&mut body))
+        with_timeout("a frame", self.limits.transfer_ms, self.receive.read_exact(&mut body))
             .await?
             .map_err(|error| LinkError::Read { message: error.to_string() })?;
         postcard::from_bytes(&body).map(Some).context(DecodeSnafu)
     }
 
-    /// Waits for the next frame, but not longer than a limit.
+    /// Waits for the next frame for at most `limit_ms`.
     pub async fn receive_within<T: DeserializeOwned>(
         &mut self,
         limit_ms: u64,
     ) -> Result<Option<T>, LinkError> {
-        within("an answer", limit_ms, self.receive()).await?
+        with_timeout("an answer", limit_ms, self.receive()).await?
     }
 
     async fn receive_length(&mut self) -> Result<Option<usize>, LinkError> {
@@ -65,7 +66,7 @@
             match read.map_err(|error| LinkError::Read { message: error.to_string() })? {
                 Some(count) => filled += count,
                 None if filled == 0 => return Ok(None),
-                None => return Err(LinkError::Read { message: "ended inside a frame".into() }),
+                None => return Err(LinkError::Read { message: "ended within a frame".into() }),
             }
         }
         Ok(Some(u32::from_le_bytes(length) as usize))
--- a/crates/link/src/wire/link.rs
+++ b/crates/link/src/wire/link.rs
@@ -10,12 +10,12 @@
 use crate::endpoint::LinkLimits;
 use crate::error::{ClosedSnafu, DecodeSnafu, EncodeSnafu, LinkError, StreamWriteSnafu};
 use crate::identity::Identity;
-use crate::wire::{FrameStream, within};
+use crate::wire::{FrameStream, with_timeout};
 
-/// Largest message that travels as a datagram, in bytes; it fits into the least MTU of QUIC.
-const DATAGRAM_BYTES: usize = 1_100;
+/// Maximum size of a message sent as a datagram, in bytes; fits the minimum MTU of QUIC.
+const DATAGRAM_BYTES_MAX: usize = 1_100;
 
-/// A link to another process whose identity is proved.
+/// A connection to an authenticated peer process.
 #[derive(Clone, Debug)]
 pub struct Link {
     connection: Connection,
@@ -33,48 +33,48 @@
         Ok(Self { connection, peer, limits })
     }
 
-    /// Who is at the other end, by certificate.
+    /// Returns the identity in the certificate of the peer.
     pub fn peer(&self) -> &Identity {
         &self.peer
     }
 
-    /// Where the other end is.
+    /// Returns the address of the peer.
     pub fn remote_address(&self) -> SocketAddr {
         self.connection.remote_address()
     }
 
-    /// Whether it can still be used.
+    /// Whether the link is open.
     pub fn is_open(&self) -> bool {
         self.connection.close_reason().is_none()
     }
 
-    /// Closes it.
+    /// Closes the link.
     pub fn close(&self) {
         self.connection.close(0u32.into(), b"closed");
     }
 
-    /// Packets that came in so far: grows whenever the other end is alive and answers.
+    /// Returns the number of UDP datagrams received so far; grows while the peer responds.
     pub fn received_packets(&self) -> u64 {
         self.connection.stats().udp_rx.datagrams
     }
 
-    /// Bytes sent and received so far, as UDP payload.
+    /// Returns the UDP payload bytes sent and received so far.
     pub fn transferred_bytes(&self) -> (u64, u64) {
         let stats = self.connection.stats();
         (stats.udp_tx.bytes, stats.udp_rx.bytes)
     }
 
-    /// Sends a message, which may be lost on the way.
+    /// Sends a message; delivery is not guaranteed.
     pub async fn send<T: Serialize>(&self, message: &T) -> Result<(), LinkError> {
         let bytes = postcard::to_allocvec(message).context(EncodeSnafu)?;
         self.send_bytes(&bytes).await
     }
 
-    /// Sends an encoded message, which may be lost on the way.
+    /// Sends an encoded message; delivery is not guaranteed.
     pub async fn send_bytes(&self, bytes: &[u8]) -> Result<(), LinkError> {
         check_size(bytes.len(), self.limits.message_bytes)?;
-        let room = self.connection.max_datagram_size().unwrap_or(0).min(DATAGRAM_BYTES);
-        if bytes.len() <= room && self.connection.send_datagram(bytes.to_vec().into()).is_ok() {
+        let limit = self.connection.max_datagram_size().unwrap_or(0).min(DATAGRAM_BYTES_MAX);
+        if bytes.len() <= limit && self.connection.send_datagram(bytes.to_vec().into()).is_ok() {
             return Ok(());
         }
         let mut stream = self.connection.open_uni().await.context(ClosedSnafu)?;
@@ -84,7 +84,7 @@
 
     /// Waits for the next message.
     ///
-    /// A message that cannot be decoded is an error of that message only: the link stays.
+    /// A message that cannot be decoded returns an error and leaves the link open.
     pub async fn receive<T: DeserializeOwned>(&self) -> Result<T, LinkError> {
         let bytes = self.receive_bytes().await?;
         postcard::from_bytes(&bytes).context(DecodeSnafu)
@@ -103,8 +103,8 @@
         match datagram.or(stream).await? {
             Received::Datagram(bytes) => Ok(bytes),
             Received::Stream(mut stream) => {
-                let whole = stream.read_to_end(self.limits.message_bytes);
-                within("a message", self.limits.transfer_ms, whole)
+                let read = stream.read_to_end(self.limits.message_bytes);
+                with_timeout("a message", self.limits.transfer_ms, read)
                     .await?
                     .map_err(|error| LinkError::Read { message: error.to_string() })
             }
@@ -117,7 +117,7 @@
         Ok(FrameStream::new(send, receive, self.limits))
     }
 
-    /// Waits for the next request of the other end.
+    /// Waits for the next stream opened by the peer.
     pub async fn accept(&self) -> Result<FrameStream, LinkError> {
         let (send, receive) = self.connection.accept_bi().await.context(ClosedSnafu)?;
         Ok(FrameStream::new(send, receive, self.limits))
--- a/crates/link/src/wire/mod.rs
+++ b/crates/link/src/wire/mod.rs
@@ -8,4 +8,4 @@
 pub use codec::{decode, encode};
 pub use frames::FrameStream;
 pub use link::Link;
-pub(crate) use timeout::within;
+pub(crate) use timeout::with_timeout;
--- a/crates/link/tests/common/mod.rs
+++ b/crates/link/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Certificates and endpoints for the tests of links.
+//! Certificates and endpoints for link tests.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -8,7 +8,7 @@
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use rustls_pki_types::PrivateKeyDer;
 
-/// An authority that signs certificates for one test.
+/// Certificate authority of one test.
 pub struct Authority(CertifiedIssuer<'static, KeyPair>);
 
 impl Authority {
@@ -48,7 +48,7 @@
     LinkEndpoint::client(loopback(), credentials, limits).unwrap()
 }
 
-/// A link between two nodes, as both ends see it.
+/// Returns both ends of a link between two nodes.
 pub async fn pair(limits: LinkLimits) -> (celeryhaven_link::Link, celeryhaven_link::Link) {
     let authority = Authority::new();
     let listening = server(&authority.node("entry-1"), Role::Node, limits);
--- a/crates/link/tests/identity.rs
+++ b/crates/link/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Who may talk to whom.
+//! Which identities and roles each endpoint accepts.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -7,8 +7,8 @@
 use celeryhaven_link::{Identity, LinkEndpoint, LinkError, LinkLimits, Role};
 use common::{Authority, client, pair, server};
 
-/// Dials, and asks for a stream's answer: a refused client certificate shows at its first use.
-async fn is_refused(dialling: &LinkEndpoint, listening: &LinkEndpoint) -> bool {
+/// Connects and receives: TLS reports a rejected client certificate only after the handshake.
+async fn is_rejected(dialling: &LinkEndpoint, listening: &LinkEndpoint) -> bool {
     let address = listening.local_address().unwrap();
     let accepted = async {
         let incoming = listening.accept().await.unwrap();
@@ -33,26 +33,25 @@
     });
 }
 
-/// An operator whose certificate also worked on the peer port could spread a configuration that
-/// nobody confirmed. Cause: a server that checks the authority but not the role.
+/// An operator certificate accepted on the peer port could distribute an unconfirmed configuration.
 #[test]
 fn identity_operator_as_node() {
     smol::block_on(async {
         let authority = Authority::new();
         let listening = server(&authority.node("entry-1"), Role::Node, LinkLimits::default());
         let dialling = client(&authority.operator("ilze"), LinkLimits::default());
-        assert!(is_refused(&dialling, &listening).await);
+        assert!(is_rejected(&dialling, &listening).await);
     });
 }
 
-/// A node that could act as an operator would turn one stolen VM into control of the fleet.
+/// A node certificate accepted as an operator would let one compromised VM control the fleet.
 #[test]
 fn identity_node_as_operator() {
     smol::block_on(async {
         let authority = Authority::new();
         let listening = server(&authority.node("entry-1"), Role::Operator, LinkLimits::default());
         let dialling = client(&authority.node("entry-2"), LinkLimits::default());
-        assert!(is_refused(&dialling, &listening).await);
+        assert!(is_rejected(&dialling, &listening).await);
     });
 }
 
@@ -73,7 +72,7 @@
     });
 }
 
-/// A listener with an operator's certificate could collect requests and answer them as a node.
+/// A server with an operator certificate could receive requests and answer them as a node.
 #[test]
 fn identity_operator_listens() {
     smol::block_on(async {
@@ -94,5 +93,5 @@
 fn identity_two_names() {
     let names = ["entry-1.node.celeryhaven", "ilze.operator.celeryhaven"];
     let issued = std::panic::catch_unwind(|| Authority::new().issue(&names));
-    assert!(issued.is_err(), "a certificate of both roles was taken");
+    assert!(issued.is_err(), "a certificate of both roles was accepted");
 }
--- a/crates/link/tests/pool.rs
+++ b/crates/link/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Links that are kept and reopened.
+//! Reuse, backoff and replacement of pooled links.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -15,7 +15,7 @@
 use common::{Authority, client, loopback, server};
 
 #[test]
-fn pool_keeps_one_link() {
+fn pool_reuses_link() {
     smol::block_on(async {
         let authority = Authority::new();
         let listening = server(&authority.node("entry-1"), Role::Node, LinkLimits::default());
@@ -51,29 +51,28 @@
     });
 }
 
-/// An entry VM is replaced and its address is used again. The other entries' messages to it would
-/// be lost for minutes: the new process knows nothing of the old links and answers nothing on them.
-/// Cause: QUIC gives up a link only after its idle time.
+/// Messages to a node that was replaced at the same address were lost until the idle timeout of the
+/// old link.
 #[test]
 fn pool_replaced_at_same_address() {
     smol::block_on(async {
         let authority = Authority::new();
         let node = authority.node("entry-1");
         let (old, new) = [(); 2].map(|()| server(&node, Role::Node, LinkLimits::default())).into();
-        let relay = Relay::start(old.local_address().unwrap());
+        let proxy = UdpProxy::start(old.local_address().unwrap());
         let pool = LinkPool::new(client(&authority.node("entry-2"), LinkLimits::default()));
-        let dialled = pool.link(TimeMs::new(0), relay.address);
-        let (_at_old, kept) = smol::future::zip(accept(&old), dialled).await;
-        let kept = kept.unwrap();
-        relay.lead_to(new.local_address().unwrap());
-        pool.send_bytes(TimeMs::new(10), relay.address, b"lost").await.unwrap();
-        pool.send_bytes(TimeMs::new(1_000), relay.address, b"lost").await.unwrap();
-        assert!(kept.is_open());
-        let sent = pool.send_bytes(TimeMs::new(5_000), relay.address, b"found");
+        let dialled = pool.link(TimeMs::new(0), proxy.address);
+        let (_at_old, old_link) = smol::future::zip(accept(&old), dialled).await;
+        let old_link = old_link.unwrap();
+        proxy.set_target(new.local_address().unwrap());
+        pool.send_bytes(TimeMs::new(10), proxy.address, b"lost").await.unwrap();
+        pool.send_bytes(TimeMs::new(1_000), proxy.address, b"lost").await.unwrap();
+        assert!(old_link.is_open());
+        let sent = pool.send_bytes(TimeMs::new(5_000), proxy.address, b"found");
         let (at_new, sent) = smol::future::zip(accept(&new), sent).await;
         sent.unwrap();
         assert_eq!(at_new.receive_bytes().await.unwrap(), b"found");
-        assert!(!kept.is_open());
+        assert!(!old_link.is_open());
     });
 }
 
@@ -84,31 +83,31 @@
     };
     let limit = async {
         smol::Timer::after(Duration::from_secs(20)).await;
-        panic!("nobody dialled")
+        panic!("no incoming connection within 20 s")
     };
     accepted.or(limit).await
 }
 
-/// Stands for an address: leads its packets to one process or the next.
-struct Relay {
+/// UDP proxy that forwards the packets of one address to a configurable target.
+struct UdpProxy {
     address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
 }
 
-impl Relay {
+impl UdpProxy {
     fn start(target: SocketAddr) -> Self {
         let front = Arc::new(UdpSocket::bind(loopback()).unwrap());
         let back = Arc::new(UdpSocket::bind(loopback()).unwrap());
         let address = front.local_addr().unwrap();
         let target = Arc::new(Mutex::new(target));
-        let relay = Self { address, target: target.clone() };
-        let dialling = Arc::new(Mutex::new(address));
+        let proxy = Self { address, target: target.clone() };
+        let client_address = Arc::new(Mutex::new(address));
         let (front_2, back_2) = (front.clone(), back.clone());
-        let (target_2, dialling_2) = (target.clone(), dialling.clone());
+        let (target_2, client_address_2) = (target.clone(), client_address.clone());
         std::thread::spawn(move || {
             let mut packet = [0; 2_048];
             while let Ok((size, from)) = front.recv_from(&mut packet) {
-                *dialling.lock().unwrap() = from;
+                *client_address.lock().unwrap() = from;
                 let to = *target.lock().unwrap();
                 let _ = back.send_to(&packet[..size], to);
             }
@@ -117,15 +116,15 @@
             let mut packet = [0; 2_048];
             while let Ok((size, from)) = back_2.recv_from(&mut packet) {
                 if from == *target_2.lock().unwrap() {
-                    let to = *dialling_2.lock().unwrap();
+                    let to = *client_address_2.lock().unwrap();
                     let _ = front_2.send_to(&packet[..size], to);
                 }
             }
         });
-        relay
+        proxy
     }
 
-    fn lead_to(&self, target: SocketAddr) {
+    fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
 }
--- a/crates/link/tests/wire.rs
+++ b/crates/link/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages and frames between two nodes.
+//! Messages and frames on a link between two nodes.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -28,7 +28,7 @@
     });
 }
 
-/// One message of another version must not cost the link, and with it all requests passed on.
+/// A message of another version must not close the link and fail the delegated requests on it.
 #[test]
 fn message_not_decodable() {
     smol::block_on(async {
@@ -45,7 +45,7 @@
 fn frames_round_trip() {
     smol::block_on(async {
         let (dialled, accepted) = pair(LinkLimits::default()).await;
-        let asking = async {
+        let requesting = async {
             let mut frames = dialled.open().await.unwrap();
             frames.send(&"request".to_string()).await.unwrap();
             frames.finish().unwrap();
@@ -60,12 +60,12 @@
             frames.finish().unwrap();
             frames
         };
-        let (answer, _kept) = smol::future::zip(asking, answering).await;
+        let (answer, _responder) = smol::future::zip(requesting, answering).await;
         assert_eq!(answer, (Some("REQUEST".into()), None));
     });
 }
 
-/// A peer that announces a frame and never sends it would hold memory and a task for ever.
+/// A peer that announces a frame and never sends it would occupy memory and a task indefinitely.
 #[test]
 fn frame_too_large_and_too_slow() {
     smol::block_on(async {
@@ -78,7 +78,7 @@
         sending.send(&1_u8).await.unwrap();
         let mut receiving = accepted.accept().await.unwrap();
         assert_eq!(receiving.receive::<u8>().await.unwrap(), Some(1));
-        let silent = receiving.receive_within::<u8>(100).await.unwrap_err();
-        assert!(matches!(silent, LinkError::TimedOut { limit_ms: 100, .. }), "{silent}");
+        let timeout = receiving.receive_within::<u8>(100).await.unwrap_err();
+        assert!(matches!(timeout, LinkError::TimedOut { limit_ms: 100, .. }), "{timeout}");
     });
 }
