--- a/crates/entry/src/peer/receiving.rs
+++ b/crates/entry/src/peer/receiving.rs
@@ -47,7 +47,7 @@
         match celeryhaven_link::wire::decode(bytes) {
             // The sender is the node of the certificate.
             Ok(message) => {
-                self.control.send_control(EntryEvent::Peer { from: from.clone(), message })
+                self.control.send_control(EntryEvent::Peer { from: from.clone(), message });
             }
             Err(error) => debug!(self.log, "a message was not read"; "error" => error.to_string()),
         }
