--- a/crates/node/src/entry/action.rs
+++ b/crates/node/src/entry/action.rs
@@ -8,86 +8,87 @@
 use crate::entry::{Attempt, PeerMessage};
 
 state! {
-    /// What an entry node wants done.
+    /// An action that an entry node requests from its driver.
     pub enum EntryAction {
-        /// Send the request to a target.
+        /// Sends the request to a target.
         ///
-        /// The driver reads the clock right before the first byte and reports
+        /// The driver reads the clock immediately before the first byte and reports
         /// [`AttemptEvent::Expired`](super::AttemptEvent::Expired) instead if `send_before` has
-        /// passed: the process may have been paused since the decision.
+        /// passed, because the process may have been paused since the decision.
         Dispatch {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// Which attempt this is.
+            /// The attempt.
             attempt: Attempt,
-            /// Where the target answers.
+            /// Address of the target.
             address: SocketAddr,
-            /// The replica and generation it is meant for; `None` for a plain service.
+            /// The replica and generation that must serve it; `None` for a plain service.
             replica: Option<(ReplicaName, Generation)>,
-            /// When the first byte must have left.
+            /// Latest time at which the first byte may leave.
             send_before: TimeMs,
-            /// Tokens that the caller already has; not zero when a broken stream goes on elsewhere.
+            /// Tokens already delivered to the caller; above zero when a failed stream is resumed.
             resume_from: u32,
         },
-        /// Close the attempt's connection and send the target a cancel order.
+        /// Closes the attempt's connection and sends the target a cancel order.
         CancelAttempt {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// Which attempt.
+            /// The attempt.
             attempt: Attempt,
         },
-        /// Give the caller this final answer now.
+        /// Sends the caller this final refusal.
         Refuse {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// The answer.
+            /// The refusal.
             refusal: Refusal,
         },
-        /// Pass the request on to the entry whose incarnation issued its key, and stream its answer.
+        /// Delegates the request to the entry whose incarnation issued its key, and streams its
+        /// answer.
         PassOn {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// The issuer.
+            /// The incarnation that issued the key.
             to: Incarnation,
-            /// Where its peer link listens.
+            /// Its peer address.
             address: SocketAddr,
         },
-        /// Give the caller the answer that another ticket with the same key got.
+        /// Sends the caller the cached answer of another ticket with the same key.
         Replay {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// The ticket whose kept answer it gets.
+            /// The ticket whose cached answer is sent.
             of: Ticket,
         },
-        /// Drop the kept answer of a keyed request.
+        /// Drops the cached answer of a keyed request.
         Forget {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
         },
-        /// Ask a member for its status.
+        /// Requests the status of a member.
         Poll {
-            /// Which member.
+            /// The member.
             vm: VmName,
-            /// Where it answers.
+            /// Its address.
             address: SocketAddr,
         },
-        /// Read the platform's VM list.
+        /// Reads the platform's VM list.
         ReadVmList,
-        /// Send a message to another entry; it may be lost.
+        /// Sends a message to another entry; it may be lost.
         SendPeer {
-            /// Where the receiver's peer link listens.
+            /// Peer address of the receiver.
             address: SocketAddr,
             /// The message.
             message: PeerMessage,
         },
-        /// Call the Object API.
+        /// Calls the Object API.
         Store {
-            /// Matches the reply.
+            /// Identifies the call in the reply.
             call: StoreCallId,
             /// The call.
             request: StoreRequest,
         },
-        /// Nothing runs any more and no cached address answer points here: the process may exit.
+        /// The process may exit: no request is active and no cached address answer names this node.
         Left,
     }
 }
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -1,31 +1,32 @@
 use celeryhaven_derives::{number, state};
 
 number! {
-    /// Counts the attempts of one request, from 1.
+    /// Number of an attempt of one request, from 1.
     Attempt(u32)
 }
 
 state! {
-    /// What became of one attempt at a target, in the order things happen.
+    /// The progress of one attempt at a target, in order of occurrence.
     pub enum AttemptEvent {
-        /// The first byte is about to leave; from here on it may have run.
+        /// The first byte is about to be sent; from here on the request may have run.
         Sent,
-        /// No byte left: the connection could not be opened.
+        /// The connection could not be opened; no byte was sent.
         ConnectFailed,
-        /// No byte left: `send_before` had passed when the driver looked, right before sending.
+        /// `send_before` had passed immediately before sending; no byte was sent.
         Expired,
         /// The target refused in a way that its protocol defines as not run.
         Refused,
-        /// The head of the answer came, and the request id that the target echoed is ours.
+        /// The response head arrived with the request id that was sent.
         Started,
-        /// Tokens were delivered to the caller since the last event.
+        /// Tokens were delivered to the caller since the previous event.
         Progress {
-            /// How many.
+            /// Number of tokens.
             tokens: u32,
         },
-        /// The caller has the whole answer, end mark included.
+        /// The caller received the whole answer, including its end mark.
         Finished,
-        /// It broke after the first byte: reset, timeout, foreign request id, no end mark.
+        /// The attempt failed after the first byte: reset, timeout, foreign request id, or no end
+        /// mark.
         Broken,
     }
 }
--- a/crates/node/src/entry/catalogue/mod.rs
+++ b/crates/node/src/entry/catalogue/mod.rs
@@ -1,5 +1,5 @@
-//! Configuration and placements, read from the objects that the spread brings.
+//! Configuration and placements, parsed from the distributed objects.
 
-mod known;
+mod objects;
 
-pub(crate) use known::{CONFIG_KEY, CONFIG_PREFIX, Catalogue, CatalogueChange, PLACEMENT_PREFIX};
+pub(crate) use objects::{CONFIG_KEY, CONFIG_PREFIX, Catalogue, CatalogueChange, PLACEMENT_PREFIX};
--- a/crates/node/src/entry/event.rs
+++ b/crates/node/src/entry/event.rs
@@ -8,85 +8,86 @@
 state! {
     /// The request key that a caller presented.
     pub enum KeyUse {
-        /// None.
+        /// No key.
         None,
-        /// The `idempotency-key` header as it came.
+        /// The unparsed value of the `idempotency-key` header.
         Presented(String),
     }
 
-    /// What became of a poll of one member.
+    /// The outcome of polling one member.
     pub enum PollOutcome {
-        /// It answered.
+        /// The member answered.
         Reported(MemberReport),
-        /// It did not answer in time, or not as itself.
+        /// The member did not answer in time, or answered under another name.
         Failed,
     }
 
-    /// What an entry node hears.
+    /// An input to an entry node.
     pub enum EntryEvent {
-        /// Time has passed.
+        /// A timer may be due.
         Tick,
-        /// A caller's request was read whole and authenticated.
+        /// A caller's request was read completely and authenticated.
         Arrived {
-            /// Names it from now on; never used twice in one boot.
+            /// Identifies the request; never reused within one boot.
             ticket: Ticket,
-            /// What is known of it.
+            /// The request head.
             head: RequestHead,
-            /// The key it came with.
+            /// The key presented with it.
             key: KeyUse,
-            /// Whether another entry passed it on because this node issued its key.
+            /// Whether another entry delegated it because this node issued its key.
             passed_on: bool,
         },
-        /// Something happened to an attempt at a target.
+        /// An attempt at a target made progress or completed.
         Attempt {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// Which of its attempts.
+            /// The attempt.
             attempt: Attempt,
-            /// What.
+            /// The attempt event.
             event: AttemptEvent,
         },
-        /// A request passed on to another entry came back with an answer, or did not.
+        /// A delegated request completed, with or without an answer.
         PassedOn {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// Whether the other entry's final answer reached the caller whole.
+            /// Whether the caller received the other entry's complete final answer.
             answered: bool,
         },
         /// The caller closed its connection.
         CallerGone {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
         },
-        /// A poll of a member ended.
+        /// A poll of a member completed.
         Polled {
-            /// Which member.
+            /// The member.
             vm: VmName,
-            /// How long it took, in milliseconds.
+            /// Duration of the poll in milliseconds.
             took_ms: u64,
-            /// How.
+            /// The result.
             outcome: PollOutcome,
         },
         /// The platform's VM list was read.
         VmList {
-            /// All of it.
+            /// The complete list.
             entries: Vec<VmEntry>,
         },
-        /// A message of another entry came in.
+        /// A message from another entry was received.
         Peer {
-            /// The sender, by its certificate.
+            /// The sender, as named by its certificate.
             from: NodeName,
             /// The message.
             message: PeerMessage,
         },
-        /// A call to the Object API ended.
+        /// A call to the Object API completed.
         Store {
-            /// Which call.
+            /// The call.
             call: StoreCallId,
-            /// How.
+            /// The result.
             reply: StoreReply,
         },
-        /// The process was asked to stop: finish what runs, take nothing new once addresses lapse.
+        /// The process was asked to stop: it completes active requests and rejects new ones once
+        /// cached addresses have expired.
         Leave,
     }
 }
--- a/crates/node/src/entry/fleet/mod.rs
+++ b/crates/node/src/entry/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! The other entries, and what this node knows through them.
+//! Membership of entries, distribution of configuration, and data centre status.
 
-mod hearing;
+mod receiving;
 mod relays;
 mod reporting;
 mod state;
--- a/crates/node/src/entry/fleet/hearing.rs
+++ b/crates/node/src/entry/fleet/receiving.rs
@@ -7,7 +7,7 @@
 use crate::entry::catalogue::CatalogueChange;
 use crate::entry::{EntryAction, EntryNode, PeerMessage};
 
-/// Membership and spread of an entry node.
+/// Membership and configuration distribution of an entry node.
 impl<P: RequestPolicy> EntryNode<P> {
     pub(crate) fn tick_fleet(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
         let mut actions = Vec::new();
@@ -23,7 +23,7 @@
         self.report(now, out);
     }
 
-    pub(crate) fn hear_member(
+    pub(crate) fn receive_membership(
         &mut self,
         now: TimeMs,
         from: &NodeName,
@@ -35,7 +35,7 @@
         self.apply_membership(now, actions, out);
     }
 
-    pub(crate) fn hear_spread(
+    pub(crate) fn receive_spread(
         &mut self,
         now: TimeMs,
         from: &NodeName,
@@ -47,7 +47,7 @@
         self.apply_spread(now, actions, out);
     }
 
-    /// Takes the answer to a call of the spread; whether the call was one.
+    /// Processes a store reply; returns whether it belongs to distribution or status reporting.
     pub(crate) fn spread_reply(
         &mut self,
         now: TimeMs,
@@ -67,16 +67,17 @@
         true
     }
 
-    /// Takes requests only while the copy of the configuration may be vouched for.
+    /// Updates eligibility when the local copy of the configuration becomes confirmed or
+    /// unconfirmed.
     ///
-    /// Judged at every event, so a node that is cut off stops at its next tick after `vouch_ms`,
-    /// and a request that arrives in between is judged too.
-    pub(crate) fn judge_vouch(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
-        let is_vouched = self.fleet.spread.vouch(now).is_given();
-        if std::mem::replace(&mut self.fleet.is_vouched, is_vouched) == is_vouched {
+    /// Runs on every event, so that a node that is cut off stops at the first event after
+    /// `vouch_ms`.
+    pub(crate) fn check_confirmed(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
+        let is_confirmed = self.fleet.spread.vouch(now).is_given();
+        if std::mem::replace(&mut self.fleet.is_confirmed, is_confirmed) == is_confirmed {
             return;
         }
-        if is_vouched && self.pause.config_read() {
+        if is_confirmed && self.pause.config_read() {
             return self.reconcile(now, out);
         }
         self.announce_all(now, out);
@@ -101,7 +102,7 @@
             }
         }
         if has_changed {
-            self.fleet.surround();
+            self.fleet.update_surroundings();
             self.peers.set(self.fleet.others());
             self.observe_due_at = now;
         }
@@ -118,10 +119,10 @@
             match action {
                 SpreadAction::Send { to, message } => self.send_spread(&to, message, out),
                 SpreadAction::Store { feed, request } => self.call_for_spread(feed, request, out),
-                SpreadAction::Changed(change) => self.take_object(&change, &mut changed),
+                SpreadAction::Changed(change) => self.apply_object(&change, &mut changed),
             }
         }
-        self.adopt(now, changed, out);
+        self.apply_catalogue_change(now, changed, out);
     }
 
     fn send_spread(&self, to: &NodeName, message: SpreadMessage, out: &mut Vec<EntryAction>) {
@@ -136,21 +137,30 @@
         out.push(EntryAction::Store { call, request });
     }
 
-    fn take_object(&mut self, change: &ObjectChange, changed: &mut CatalogueChange) {
-        let this = self.catalogue.take(change);
+    fn apply_object(&mut self, change: &ObjectChange, changed: &mut CatalogueChange) {
+        let this = self.catalogue.apply(change);
         changed.config |= this.config;
         changed.placement |= this.placement;
     }
 
-    /// Puts a newer configuration or placement in force.
-    fn adopt(&mut self, now: TimeMs, changed: CatalogueChange, out: &mut Vec<EntryAction>) {
+    /// Applies a newer configuration or placement.
+    fn apply_catalogue_change(
+        &mut self,
+        now: TimeMs,
+        changed: CatalogueChange,
+        out: &mut Vec<EntryAction>,
+    ) {
         if changed.config
             && let Some(config) = self.catalogue.config()
         {
             let version = self.fleet.spread.vouched_version();
             self.fleet.reporter.in_force(version, config.number);
             let organisations = config.intent.organisations.clone();
-            self.ask(now, PolicyEvent::Organisations { organisations: &organisations }, out);
+            self.notify_policy(
+                now,
+                PolicyEvent::Organisations { organisations: &organisations },
+                out,
+            );
         }
         if changed != CatalogueChange::default() {
             self.reconcile(now, out);
--- a/crates/node/src/entry/fleet/relays.rs
+++ b/crates/node/src/entry/fleet/relays.rs
@@ -6,14 +6,13 @@
 
 use crate::entry::rank::rank;
 
-/// Nodes of each data centre that follow the Object API. One would leave a data centre to its
-/// peers for a failure's time; each one more costs two waiting watches a data centre.
-const RELAYS: usize = 2;
+/// Nodes of each data centre that watch the Object API; the second covers the failure of the first.
+const RELAYS_PER_DATA_CENTRE: usize = 2;
 
-/// The role in the ranking.
-const ROLE: &str = "relay";
+/// Role name for rendezvous hashing.
+const RELAY_ROLE: &str = "relay";
 
-/// What membership says of the fleet, as the spread wants it.
+/// Returns the peers and relays derived from membership.
 pub(crate) fn surroundings(membership: &Membership) -> Surroundings {
     let relays = relays(membership);
     let me = membership.me();
@@ -27,34 +26,34 @@
     Surroundings { peers: peers.collect(), is_relay: relays.contains(me.node()), answering, known }
 }
 
-/// Whether this node is the one of its data centre that reports for it.
+/// Whether this node reports the status of its data centre.
 pub(crate) fn is_reporter(membership: &Membership) -> bool {
     let me = membership.me();
     let place = ranked(membership).remove(&me.data_centre);
     place.and_then(|ranked| ranked.into_iter().max()).is_some_and(|(_, node)| node == me.node())
 }
 
-/// The two highest ranked nodes of each data centre that answer.
+/// Returns the two highest ranked reachable nodes of each data centre.
 ///
-/// Nodes whose views differ may name different relays: one too many costs a watch, one too few is
-/// made up for by the nodes' own reads. Nothing depends on their number.
+/// Nodes with different membership views may select different relays: a surplus relay costs a
+/// watch, and reads by the nodes themselves make up for a missing one.
 fn relays(membership: &Membership) -> BTreeSet<NodeName> {
     let highest = ranked(membership).into_values().flat_map(|mut ranked| {
         ranked.sort();
-        ranked.into_iter().rev().take(RELAYS)
+        ranked.into_iter().rev().take(RELAYS_PER_DATA_CENTRE)
     });
     highest.map(|(_, node)| node.clone()).collect()
 }
 
-/// Nodes that answer, with their rank, by data centre.
+/// Returns the reachable nodes with their rank, by data centre.
 fn ranked(membership: &Membership) -> BTreeMap<&DataCentreName, Vec<(u64, &NodeName)>> {
-    let mut by_place: BTreeMap<&DataCentreName, Vec<(u64, &NodeName)>> = BTreeMap::new();
+    let mut by_data_centre: BTreeMap<&DataCentreName, Vec<(u64, &NodeName)>> = BTreeMap::new();
     let answers = |member: &&Member| {
         membership.find(member.node()).is_some_and(|(_, state)| state == MemberState::Alive)
     };
     for member in membership.live().filter(answers) {
-        let ranked = by_place.entry(&member.data_centre).or_default();
-        ranked.push((rank(ROLE, member.node().as_str()), member.node()));
+        let ranked = by_data_centre.entry(&member.data_centre).or_default();
+        ranked.push((rank(RELAY_ROLE, member.node().as_str()), member.node()));
     }
-    by_place
+    by_data_centre
 }
--- a/crates/node/src/entry/fleet/reporting.rs
+++ b/crates/node/src/entry/fleet/reporting.rs
@@ -7,50 +7,50 @@
 
 use crate::entry::{EntryAction, EntryNode};
 
-/// How often a data centre's status is written. Operators are warned of one that is 30 s old; two
-/// lost writes must not warn them.
-const REPORT_MS: u64 = 5_000;
-/// Configurations of which the number is remembered: more than are accepted while one spreads.
-const NUMBERS_KEPT: usize = 64;
+/// Interval between writes of a data centre's status. Monitoring alerts on a status 30 s old, so
+/// two lost writes must not trigger it.
+const STATUS_INTERVAL_MS: u64 = 5_000;
+/// Number of configuration versions whose number is remembered.
+const CONFIG_NUMBERS_RETAINED: usize = 64;
 
-/// What to ask the Object API next.
+/// The next call to the Object API.
 #[derive(Clone, Copy, Debug, Default)]
-enum Next {
-    /// Whether the object exists, and at which version.
+enum NextCall {
+    /// Reads the object and its version.
     #[default]
-    Look,
-    /// Write it for the first time.
+    Read,
+    /// Creates the object.
     Create,
-    /// Replace it.
+    /// Replaces the object at this version.
     Replace(ObjectVersion),
 }
 
-/// Writes `status/<data centre>` for the node that reports for its data centre.
+/// Writes `status/<data centre>` on the node that reports for its data centre.
 ///
-/// Two nodes may take themselves for it while their views of membership differ. Then each finds
-/// the other's version in its way, looks again, and writes later; the object is right either way.
+/// Two nodes may both report while their membership views differ. A write conflict then leads to
+/// another read and a later write; the object is correct either way.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reporter {
     is_reporting: bool,
     due_at: TimeMs,
-    next: Next,
+    next: NextCall,
     call: Option<StoreCallId>,
     numbers: BTreeMap<ObjectVersion, ConfigNumber>,
 }
 
 impl Reporter {
     pub(crate) fn begin(&mut self, now: TimeMs) {
-        self.due_at = now.after(REPORT_MS);
+        self.due_at = now.after(STATUS_INTERVAL_MS);
     }
 
     pub(crate) fn set_reporting(&mut self, is_reporting: bool) {
         self.is_reporting = is_reporting;
     }
 
-    /// Notes which number a version of the configuration has.
+    /// Records the number of a configuration version.
     pub(crate) fn in_force(&mut self, version: ObjectVersion, number: ConfigNumber) {
         self.numbers.insert(version, number);
-        while self.numbers.len() > NUMBERS_KEPT {
+        while self.numbers.len() > CONFIG_NUMBERS_RETAINED {
             self.numbers.pop_first();
         }
     }
@@ -64,46 +64,48 @@
         self.call == Some(call)
     }
 
-    /// Takes the answer; a write waits for its next turn, whatever became of it.
+    /// Processes a reply. After a write or an error the next call waits for the interval.
     pub(crate) fn reply(&mut self, now: TimeMs, reply: &StoreReply) {
         self.call = None;
         self.next = match reply {
-            StoreReply::Found(object) => Next::Replace(object.version),
-            StoreReply::Missing => Next::Create,
-            StoreReply::Written { version } => Next::Replace(*version),
-            _ => Next::Look,
+            StoreReply::Found(object) => NextCall::Replace(object.version),
+            StoreReply::Missing => NextCall::Create,
+            StoreReply::Written { version } => NextCall::Replace(*version),
+            _ => NextCall::Read,
         };
         if !matches!(reply, StoreReply::Found(_) | StoreReply::Missing) {
-            self.due_at = now.after(REPORT_MS);
+            self.due_at = now.after(STATUS_INTERVAL_MS);
         }
     }
 
     fn request(&mut self, call: StoreCallId, key: ObjectKey, value: String) -> StoreRequest {
         self.call = Some(call);
         match self.next {
-            Next::Look => StoreRequest::Get { key },
-            Next::Create => StoreRequest::Create { key, value: value.into() },
-            Next::Replace(version) => StoreRequest::Update { key, version, value: value.into() },
+            NextCall::Read => StoreRequest::Get { key },
+            NextCall::Create => StoreRequest::Create { key, value: value.into() },
+            NextCall::Replace(version) => {
+                StoreRequest::Update { key, version, value: value.into() }
+            }
         }
     }
 
-    /// The number of a version, or of the newest one known before it.
+    /// Returns the number of a version, or of the newest recorded version before it.
     fn number(&self, version: ObjectVersion) -> ConfigNumber {
         let known = self.numbers.range(..=version).next_back();
         known.map(|(_, number)| *number).unwrap_or_default()
     }
 }
 
-/// Reports of a data centre.
+/// Status reports of a data centre.
 impl<P: RequestPolicy> EntryNode<P> {
-    /// Writes what is due.
+    /// Sends the next status call if it is due.
     pub(crate) fn report(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
         if self.fleet.reporter.next_wake() > now {
             return;
         }
         let status = self.data_centre_status(now);
         let key = ObjectKey::new(format!("status/{}", status.data_centre));
-        // A value of plain names and numbers always has a JSON form.
+        // Serialization of names and numbers cannot fail.
         let value = serde_json::to_string(&status).unwrap_or_default();
         let call = self.next_call();
         let request = self.fleet.reporter.request(call, key, value);
--- a/crates/node/src/entry/fleet/state.rs
+++ b/crates/node/src/entry/fleet/state.rs
@@ -11,24 +11,24 @@
 use crate::entry::fleet::relays::{is_reporter, surroundings};
 use crate::entry::{EntrySettings, PeerEntry};
 
-/// Membership and spread of one node, and whether it may vouch for its configuration.
+/// Membership and distribution state of one node, and whether its configuration is confirmed.
 pub(crate) struct Fleet {
     pub(crate) membership: Membership,
     pub(crate) spread: Spread,
     pub(crate) calls: BTreeMap<StoreCallId, usize>,
-    pub(crate) is_vouched: bool,
+    pub(crate) is_confirmed: bool,
     pub(crate) reporter: Reporter,
     has_begun: bool,
 }
 
 impl Fleet {
-    /// A node that knows nobody yet but where to ask.
+    /// Creates the state with the seeds as the only contacts.
     pub(crate) fn new(settings: &EntrySettings, seed: [u8; 32]) -> Self {
         let now = TimeMs::default();
         let seeds = seeds(settings);
         let mut spread_settings = settings.spread;
         if seeds.is_empty() {
-            // A fleet of one has nobody to wait for.
+            // A single node has no peers to wait for.
             spread_settings.alone_ms = 0;
         }
         let prefixes = vec![ObjectKey::new(CONFIG_PREFIX), ObjectKey::new(PLACEMENT_PREFIX)];
@@ -39,48 +39,48 @@
             membership: membership.with_seeds(seeds),
             spread: Spread::new(now, spread_settings, prefixes, key, two),
             calls: BTreeMap::new(),
-            is_vouched: false,
+            is_confirmed: false,
             reporter: Reporter::default(),
             has_begun: false,
         }
     }
 
-    /// Notes when the process began, at its first event.
+    /// Starts the timers at the first event of the process.
     pub(crate) fn begin(&mut self, now: TimeMs) {
         if !std::mem::replace(&mut self.has_begun, true) {
             self.spread.begin(now);
             self.reporter.begin(now);
-            self.surround();
+            self.update_surroundings();
         }
     }
 
-    /// Gives membership's view to the spread.
-    pub(crate) fn surround(&mut self) {
+    /// Passes the current membership view to distribution and status reporting.
+    pub(crate) fn update_surroundings(&mut self) {
         self.spread.set_surroundings(surroundings(&self.membership));
         self.reporter.set_reporting(is_reporter(&self.membership));
     }
 
-    /// When a tick is due.
+    /// Returns when the next tick is due.
     pub(crate) fn next_wake(&self) -> TimeMs {
         let report = self.reporter.next_wake();
         self.membership.next_wake().min(self.spread.next_wake()).min(report)
     }
 
-    /// Whether this node may take new requests, as far as the fleet is concerned.
+    /// Whether membership and distribution allow new requests.
     pub(crate) fn may_serve(&self) -> bool {
-        self.is_vouched && self.spread.is_primed() && !self.membership.is_superseded()
+        self.is_confirmed && self.spread.is_primed() && !self.membership.is_superseded()
     }
 
-    /// Whether a node may be named in address answers, as far as its own word and probes tell.
+    /// Whether address answers may name a node, according to membership.
     ///
-    /// A node that membership has not met yet may be: the VM list alone speaks for it.
+    /// A node that membership has not discovered yet may be named; the VM list alone decides.
     pub(crate) fn may_be_named(&self, node: &NodeName) -> bool {
         self.membership
             .find(node)
             .is_none_or(|(member, state)| state.is_live() && member.phase == MemberPhase::Live)
     }
 
-    /// The other live entries.
+    /// Returns the other live entries.
     pub(crate) fn others(&self) -> impl Iterator<Item = PeerEntry> {
         let me = self.membership.me().node();
         let others = self.membership.live().filter(move |member| member.node() != me);
--- a/crates/node/src/entry/watching.rs
+++ b/crates/node/src/entry/inputs.rs
@@ -5,18 +5,18 @@
 use crate::entry::observing::Target;
 use crate::entry::{EntryAction, EntryNode, PollOutcome};
 
-/// What the node reads of its world, and what it tells the policy of it.
+/// Processes VM lists, store replies and polls, and notifies the policy of target changes.
 impl<P: RequestPolicy> EntryNode<P> {
     pub(crate) fn next_call(&mut self) -> StoreCallId {
         self.last_call = self.last_call.next();
         self.last_call
     }
 
-    /// The process has woken from a pause: reads everything anew, and routes nothing before.
-    pub(crate) fn woke(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
+    /// Handles the end of a process pause: rereads all inputs, and sends no request before.
+    pub(crate) fn resume_after_pause(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
         self.fleet.spread.woke(now);
         self.vm_list_due_at = now;
-        self.judge_vouch(now, out);
+        self.check_confirmed(now, out);
         self.announce_all(now, out);
         self.read_vm_list(now, out);
     }
@@ -39,7 +39,7 @@
     pub(crate) fn read_vm_list(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
         if self.vm_list_due_at <= now {
             self.vm_list_due_at = now.after(self.settings.vm_list_interval_ms);
-            self.pause.vm_list_asked();
+            self.pause.vm_list_requested();
             out.push(EntryAction::ReadVmList);
         }
     }
@@ -56,13 +56,13 @@
             return;
         }
         self.vms = vms;
-        let sharers = self.vms.values().filter(|entry| entry.role == VmRole::Entry).count();
-        let nodes = u32::try_from(sharers.max(1)).unwrap_or(u32::MAX);
-        self.ask(now, PolicyEvent::Senders { nodes }, out);
+        let senders = self.vms.values().filter(|entry| entry.role == VmRole::Entry).count();
+        let nodes = u32::try_from(senders.max(1)).unwrap_or(u32::MAX);
+        self.notify_policy(now, PolicyEvent::Senders { nodes }, out);
         self.reconcile(now, out);
     }
 
-    /// Brings targets and polls in line with what was read last.
+    /// Updates targets and polls from the latest configuration, placements and VM list.
     pub(crate) fn reconcile(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
         let Some(config) = self.catalogue.config() else { return };
         let placements = self.catalogue.placements();
@@ -77,7 +77,7 @@
         self.announce_all(now, out);
     }
 
-    /// Whether this node deletes old claims: the first by name of the live entries of the VM list.
+    /// Whether this node deletes expired claims: the first live entry of the VM list by name.
     fn is_sweeper(&self) -> bool {
         let mut entries = self.vms.values();
         let first = entries.find(|e| e.role == VmRole::Entry && e.phase == VmPhase::Live);
@@ -90,11 +90,11 @@
         }
     }
 
-    /// Takes the end of a poll.
+    /// Processes the completion of a poll.
     ///
-    /// A failed poll takes the replica down at once: a member that does not answer may be lost, and
-    /// a request sent to the rest of it would be lost too. The price of a single lost answer is one
-    /// poll interval without this replica.
+    /// A failed poll marks the replica as unavailable at once, because requests sent to a replica
+    /// with a lost member are lost too. A single lost answer costs one poll interval without this
+    /// replica.
     pub(crate) fn polled(
         &mut self,
         now: TimeMs,
@@ -103,13 +103,13 @@
         out: &mut Vec<EntryAction>,
     ) {
         let interval_ms = self.settings.poll_interval_ms;
-        let Some(asked_at) = self.polls.ended(now, vm, interval_ms) else { return };
+        let Some(requested_at) = self.polls.complete(now, vm, interval_ms) else { return };
         for key in self.targets.of_vm(vm) {
             let Some(target) = self.targets.get_mut(key) else { continue };
             let was_whole = target.flaw(now).is_none();
             let load = match outcome {
                 PollOutcome::Reported(report) if report.vm == *vm => {
-                    target.report(now, asked_at, report)
+                    target.report(now, requested_at, report)
                 }
                 _ => {
                     target.forget(vm);
@@ -117,63 +117,64 @@
                 }
             };
             if was_whole && target.flaw(now).is_some() {
-                self.tell_lost(key, out);
+                self.report_loss(key, out);
             }
             self.announce(now, key, out);
             let up = self.targets.get(key).is_some_and(Target::is_up);
             if let Some(load) = load.filter(|_| up) {
-                self.ask(now, PolicyEvent::Reported { target: key, load }, out);
+                self.notify_policy(now, PolicyEvent::Reported { target: key, load }, out);
             }
         }
         self.send_polls(now, out);
     }
 
-    /// Takes a target down until every member has reported anew: a request to it failed.
+    /// Marks a target as unavailable until every member has reported again, because a request to it
+    /// failed.
     pub(crate) fn suspect(&mut self, now: TimeMs, key: TargetKey, out: &mut Vec<EntryAction>) {
         if let Some(target) = self.targets.get_mut(key)
             && let Some(front) = target.front().cloned()
         {
             target.forget(&front);
         }
-        self.doubt(now, key);
-        self.hasten_polls(now, key);
+        self.distrust_observers(now, key);
+        self.expedite_polls(now, key);
         self.announce(now, key, out);
     }
 
-    /// Polls the members of a target now.
-    pub(crate) fn hasten_polls(&mut self, now: TimeMs, key: TargetKey) {
+    /// Polls the members of a target immediately.
+    pub(crate) fn expedite_polls(&mut self, now: TimeMs, key: TargetKey) {
         let Some(target) = self.targets.get(key) else { return };
         for vm in target.vms() {
-            self.polls.hasten(now, vm);
+            self.polls.expedite(now, vm);
         }
     }
 
     pub(crate) fn announce_all(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
-        self.routes_due_at = TimeMs::new(u64::MAX);
+        self.eligibility_due_at = TimeMs::new(u64::MAX);
         let keys: Vec<TargetKey> = self.targets.iter().map(|target| target.key).collect();
         for key in keys {
             self.announce(now, key, out);
         }
     }
 
-    /// Tells the policy whether a target may take requests, if that or its profile has changed.
+    /// Notifies the policy if the target's eligibility or its profile has changed.
     pub(crate) fn announce(&mut self, now: TimeMs, key: TargetKey, out: &mut Vec<EntryAction>) {
         let life_ms = self.settings.report_life_ms;
         let is_holding = self.pause.is_holding() || !self.fleet.may_serve();
         let Some(target) = self.targets.get_mut(key) else { return };
-        let until = target.routable_until(now, life_ms).filter(|_| !is_holding);
+        let until = target.eligible_until(now, life_ms).filter(|_| !is_holding);
         if let Some(until) = until {
-            self.routes_due_at = self.routes_due_at.min(until);
+            self.eligibility_due_at = self.eligibility_due_at.min(until);
         }
-        let told = target.told.clone();
-        target.told = until.map(|_| target.profile.clone());
-        if told == target.told {
+        let announced = target.announced.clone();
+        target.announced = until.map(|_| target.profile.clone());
+        if announced == target.announced {
             return;
         }
-        let event = match target.told.clone() {
+        let event = match target.announced.clone() {
             Some(profile) => PolicyEvent::TargetUp { target: key, profile },
             None => PolicyEvent::TargetDown { target: key },
         };
-        self.ask(now, event, out);
+        self.notify_policy(now, event, out);
     }
 }
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -1,10 +1,11 @@
-//! What an entry process hears and does.
+//! Events, actions and state of an entry process.
 
 mod action;
 mod attempt;
 mod catalogue;
 mod event;
 mod fleet;
+mod inputs;
 mod leaving;
 mod node;
 mod observers;
@@ -15,7 +16,6 @@
 mod serving;
 mod settings;
 mod surface;
-mod watching;
 
 pub use action::EntryAction;
 pub use attempt::{Attempt, AttemptEvent};
--- a/crates/node/src/entry/node.rs
+++ b/crates/node/src/entry/node.rs
@@ -14,12 +14,11 @@
 use crate::entry::{EntryAction, EntryEvent, EntrySettings};
 use crate::machine::Machine;
 
-/// One entry process without its sockets: what it hears goes in, what it wants done comes out.
+/// State machine of one entry process, without I/O.
 ///
-/// It reads configuration and placements, polls members, tells the policy which targets may take
-/// requests, carries the policy's decisions out, and guards keyed requests against a second run.
-/// Its driver gives it an [`EntryEvent`] for everything that happens and carries out each
-/// [`EntryAction`] in order.
+/// Reads configuration and placements, polls members, notifies the policy of eligible targets,
+/// executes the policy's decisions, and prevents keyed requests from running twice. The driver
+/// passes in an [`EntryEvent`] for every occurrence and executes each [`EntryAction`] in order.
 pub struct EntryNode<P> {
     pub(crate) settings: EntrySettings,
     pub(crate) policy: P,
@@ -29,7 +28,7 @@
     pub(crate) polls: Polls,
     pub(crate) vms: BTreeMap<VmName, VmEntry>,
     pub(crate) vm_list_due_at: TimeMs,
-    pub(crate) routes_due_at: TimeMs,
+    pub(crate) eligibility_due_at: TimeMs,
     pub(crate) observe_due_at: TimeMs,
     pub(crate) pause: PauseGuard,
     pub(crate) requests: Requests,
@@ -38,16 +37,16 @@
     pub(crate) once_calls: BTreeMap<StoreCallId, OnceCall>,
     pub(crate) last_call: StoreCallId,
     pub(crate) leaving_since: Option<TimeMs>,
-    pub(crate) has_lapsed: bool,
+    pub(crate) has_expired: bool,
     pub(crate) has_left: bool,
     pub(crate) address_answers: u64,
 }
 
 impl<P: RequestPolicy> EntryNode<P> {
-    /// A node that knows nothing yet; its first tick is due at once.
+    /// Creates a node without configuration; its first tick is due immediately.
     ///
-    /// `seed` must be unpredictable in a process that serves callers: the keys it issues are made
-    /// from it. A test gives a fixed one.
+    /// `seed` must be unpredictable in a process that serves callers, because request keys are
+    /// derived from it. Tests pass a fixed one.
     pub fn new(settings: EntrySettings, policy: P, seed: [u8; 32]) -> Self {
         let mut peers = Peers::default();
         peers.set(settings.peers.iter().cloned());
@@ -65,13 +64,13 @@
             polls: Polls::default(),
             vms: BTreeMap::new(),
             vm_list_due_at: TimeMs::new(0),
-            routes_due_at: TimeMs::new(u64::MAX),
+            eligibility_due_at: TimeMs::new(u64::MAX),
             observe_due_at: TimeMs::new(0),
             pause: PauseGuard::default(),
             requests: Requests::default(),
             last_call: StoreCallId::new(0),
             leaving_since: None,
-            has_lapsed: false,
+            has_expired: false,
             has_left: false,
             address_answers: 0,
         }
@@ -85,7 +84,7 @@
         self.read_vm_list(now, out);
         self.observe(now, out);
         self.send_polls(now, out);
-        if self.routes_due_at <= now {
+        if self.eligibility_due_at <= now {
             self.announce_all(now, out);
         }
         while let Some(ticket) = self.requests.take_due(now) {
@@ -97,7 +96,7 @@
             self.apply_once(now, actions, out);
         }
         if self.policy.next_wake().is_some_and(|due| due <= now) {
-            self.ask(now, PolicyEvent::Tick, out);
+            self.notify_policy(now, PolicyEvent::Tick, out);
         }
     }
 }
@@ -108,8 +107,8 @@
 
     fn handle(&mut self, now: TimeMs, event: EntryEvent, out: &mut Vec<EntryAction>) {
         self.fleet.begin(now);
-        if self.pause.heard(now, self.settings.report_life_ms) {
-            self.woke(now, out);
+        if self.pause.record_event(now, self.settings.report_life_ms) {
+            self.resume_after_pause(now, out);
         }
         match event {
             EntryEvent::Tick => self.tick(now, out),
@@ -120,16 +119,16 @@
                 self.attempt_event(now, ticket, attempt, event, out);
             }
             EntryEvent::PassedOn { ticket, answered } => {
-                self.passed_on(ticket, answered, out);
+                self.delegation_completed(ticket, answered, out);
             }
-            EntryEvent::CallerGone { ticket } => self.caller_gone(now, ticket, out),
+            EntryEvent::CallerGone { ticket } => self.caller_disconnected(now, ticket, out),
             EntryEvent::Polled { vm, outcome, .. } => self.polled(now, &vm, &outcome, out),
             EntryEvent::VmList { entries } => self.vm_list(now, entries, out),
             EntryEvent::Peer { from, message } => self.peer_message(now, &from, message, out),
             EntryEvent::Store { call, reply } => self.store_reply(now, call, &reply, out),
             EntryEvent::Leave => self.leave(now),
         }
-        self.judge_vouch(now, out);
+        self.check_confirmed(now, out);
         self.check_leaving(now, out);
     }
 
@@ -140,11 +139,11 @@
             self.polls.next_wake(),
             self.pause.next_wake(),
             Some(self.observe_due_at),
-            Some(self.routes_due_at).filter(|at| at.get() != u64::MAX),
+            Some(self.eligibility_due_at).filter(|at| at.get() != u64::MAX),
             self.requests.next_wake(),
             self.policy.next_wake(),
             self.once.next_wake(),
-            self.leaves_at().filter(|_| !self.has_lapsed),
+            self.leaves_at().filter(|_| !self.has_expired),
         ];
         timers.into_iter().flatten().min()
     }
--- a/crates/node/src/entry/observers.rs
+++ b/crates/node/src/entry/observers.rs
@@ -7,27 +7,25 @@
 use crate::entry::rank::rank;
 use crate::entry::{EntryAction, EntryNode, ObservedLoad, PeerMessage, ReplicaObservation};
 
-/// Entries that observe one replica.
-///
-/// Two, so that the loss of one leaves the replica observed. More would only cost its members polls.
-const OBSERVERS: usize = 2;
-/// How long a node fails to trust observers after a request of its own has failed.
-const DOUBT_MS: u64 = 10_000;
+/// Entries that observe one replica; the second covers the loss of the first.
+const OBSERVERS_PER_REPLICA: usize = 2;
+/// How long a node relies only on its own polls after one of its requests failed.
+const OBSERVER_DISTRUST_MS: u64 = 10_000;
 
-/// Two entries observe each replica; the others ask them.
+/// Polling of replicas, shared among entries.
 ///
-/// Made for many entries before many replicas: with each entry polling each member, members answer
-/// polls in proportion to the fleet. An entry looks for itself while observers are silent, so a lost
-/// observer costs no service, and after a request of its own has failed, because an observer cannot
-/// see that this node's own link to the target is cut.
+/// Two entries observe each replica and the others query them, so the poll load on a member does
+/// not grow with the number of entries. An entry polls by itself while the observers are silent,
+/// and after one of its own requests failed, because observers cannot detect a broken link between
+/// this node and the target.
 impl<P: RequestPolicy> EntryNode<P> {
-    /// Asks the observers, and polls where they are silent.
+    /// Queries the observers, and polls replicas whose observers are silent.
     pub(crate) fn observe(&mut self, now: TimeMs, out: &mut Vec<EntryAction>) {
         if self.observe_due_at > now {
             return;
         }
         self.observe_due_at = now.after(self.settings.poll_interval_ms);
-        let asked = self.share_observing(now);
+        let asked = self.assign_observers(now);
         self.polls.set_members(now, &self.targets.members(&self.vms));
         self.send_polls(now, out);
         let message = PeerMessage::Observe { asked: now.get() };
@@ -38,23 +36,23 @@
         }));
     }
 
-    /// Decides which replicas this node polls; gives the entries that observe the others.
-    fn share_observing(&mut self, now: TimeMs) -> BTreeSet<NodeName> {
+    /// Selects the replicas that this node polls; returns the observers to query for the others.
+    fn assign_observers(&mut self, now: TimeMs) -> BTreeSet<NodeName> {
         let own = self.settings.incarnation.node.clone();
         let mut entries: Vec<(&NodeName, &DataCentreName)> =
             self.peers.iter().map(|peer| (&peer.node, &peer.data_centre)).collect();
         entries.push((&own, &self.settings.data_centre));
-        let patience_ms = self.settings.observer_patience_ms();
+        let age_max_ms = self.settings.observation_age_max_ms();
         let late_ms = self.settings.poll_interval_ms * 3 / 2;
         let mut asked = BTreeSet::new();
         for target in self.targets.iter_mut().filter(|target| target.wanted) {
             let Serving::Replica { name, .. } = &target.serving else { continue };
             let observers = observers(name, &target.data_centre, &entries);
             target.is_observer = observers.contains(&own);
-            target.is_polled = target.is_observer || target.remote.is_silent(now, patience_ms);
-            // One observer is asked; the other one only when the first has not answered.
-            let is_late = target.remote.is_silent(now, late_ms);
-            let count = if is_late { OBSERVERS } else { 1 };
+            target.is_polled = target.is_observer || target.remote.is_older_than(now, age_max_ms);
+            // The second observer is queried only when the first is late.
+            let is_late = target.remote.is_older_than(now, late_ms);
+            let count = if is_late { OBSERVERS_PER_REPLICA } else { 1 };
             if !target.is_observer {
                 asked.extend(observers.into_iter().take(count));
             }
@@ -70,13 +68,13 @@
         out: &mut Vec<EntryAction>,
     ) {
         match message {
-            PeerMessage::Membership(message) => self.hear_member(now, from, message, out),
-            PeerMessage::Spread(message) => self.hear_spread(now, from, message, out),
+            PeerMessage::Membership(message) => self.receive_membership(now, from, message, out),
+            PeerMessage::Spread(message) => self.receive_spread(now, from, message, out),
             PeerMessage::Observe { asked } => self.answer_observe(now, from, asked, out),
             PeerMessage::Observations { asked, replicas } => {
-                let asked_at = TimeMs::new(asked).min(now);
+                let requested_at = TimeMs::new(asked).min(now);
                 for observation in replicas {
-                    self.take_observation(now, asked_at, &observation, out);
+                    self.apply_observation(now, requested_at, &observation, out);
                 }
             }
             PeerMessage::Observed { replica, generation, boots, .. } => {
@@ -84,7 +82,7 @@
                     && let Some(key) = self.targets.replica(&replica, generation)
                     && let Some(target) = self.targets.get_mut(key)
                 {
-                    target.remote.lost(now);
+                    target.remote.report_loss(now);
                     self.announce(now, key, out);
                 }
             }
@@ -108,28 +106,28 @@
         });
     }
 
-    fn take_observation(
+    fn apply_observation(
         &mut self,
         now: TimeMs,
-        asked_at: TimeMs,
+        requested_at: TimeMs,
         observation: &ReplicaObservation,
         out: &mut Vec<EntryAction>,
     ) {
         let key = self.targets.replica(&observation.replica, observation.generation);
         let Some(key) = key else { return };
         let Some(target) = self.targets.get_mut(key) else { return };
-        target.remote.observed(asked_at, observation.age_ms, observation.whole);
+        target.remote.observed(requested_at, observation.age_ms, observation.whole);
         let is_own = target.is_polled;
         self.announce(now, key, out);
         let up = self.targets.get(key).is_some_and(Target::is_up);
         if let Some(load) = observation.load.filter(|_| up && !is_own) {
-            let load = target_load(load, now.since(asked_at));
-            self.ask(now, PolicyEvent::Reported { target: key, load }, out);
+            let load = target_load(load, now.since(requested_at));
+            self.notify_policy(now, PolicyEvent::Reported { target: key, load }, out);
         }
     }
 
-    /// Tells the others at once that a replica which this node observes is not whole.
-    pub(crate) fn tell_lost(&mut self, key: TargetKey, out: &mut Vec<EntryAction>) {
+    /// Notifies all entries that a replica observed by this node is not whole.
+    pub(crate) fn report_loss(&mut self, key: TargetKey, out: &mut Vec<EntryAction>) {
         let Some(target) = self.targets.get(key).filter(|target| target.is_observer) else {
             return;
         };
@@ -151,17 +149,17 @@
         }));
     }
 
-    /// Looks for itself for a while: a request to this target has failed.
-    pub(crate) fn doubt(&mut self, now: TimeMs, key: TargetKey) {
-        let until = now.after(DOUBT_MS);
+    /// Relies on own polls for a while, because a request to this target failed.
+    pub(crate) fn distrust_observers(&mut self, now: TimeMs, key: TargetKey) {
+        let until = now.after(OBSERVER_DISTRUST_MS);
         if let Some(target) = self.targets.get_mut(key) {
-            target.remote.doubt(now, until);
+            target.remote.distrust(now, until);
             self.observe_due_at = now;
         }
     }
 }
 
-/// The entries that observe a replica: of its data centre, or of all if it has none there.
+/// Returns the observers of a replica: entries of its data centre, or of any if it has none there.
 fn observers(
     replica: &ReplicaName,
     data_centre: &DataCentreName,
@@ -174,7 +172,7 @@
         .map(|(node, _)| (rank(replica.as_str(), node.as_str()), (*node).clone()))
         .collect();
     ranked.sort_unstable();
-    ranked.into_iter().rev().take(OBSERVERS).map(|(_, node)| node).collect()
+    ranked.into_iter().rev().take(OBSERVERS_PER_REPLICA).map(|(_, node)| node).collect()
 }
 
 fn observation(target: &Target, now: TimeMs, report_life_ms: u64) -> Option<ReplicaObservation> {
@@ -189,9 +187,9 @@
     Some(ReplicaObservation { replica, generation, whole: until.is_some(), age_ms, load })
 }
 
-fn target_load(load: ObservedLoad, on_the_way_ms: u64) -> TargetLoad {
+fn target_load(load: ObservedLoad, transit_ms: u64) -> TargetLoad {
     TargetLoad {
-        age_ms: load.age_ms.saturating_add(on_the_way_ms),
+        age_ms: load.age_ms.saturating_add(transit_ms),
         running: load.running,
         waiting: load.waiting,
         prefill_tokens_queued: load.prefill_tokens_queued,
--- a/crates/node/src/entry/observing/followed.rs
+++ b/crates/node/src/entry/observing/followed.rs
@@ -4,22 +4,20 @@
 
 use crate::entry::rank::rank;
 
-/// Replicas of one deployment up to which an entry follows all of them.
+/// Number of replicas of one deployment up to which an entry follows all of them.
 ///
-/// Load: 340 entries before 840 replicas. Harm: an entry that follows every replica asks nearly
-/// every other entry in each poll interval, which was measured at 67 KB/s of a node at 100 nodes
-/// and grows with the fleet. Reason of the limit: the fleets of today have 60 replicas, and their
-/// entries may use any of them.
+/// Above it an entry would query nearly every other entry in each poll interval.
 const FOLLOW_ALL_MAX: usize = 100;
 
-/// Far replicas that an entry of a larger fleet follows beside all near ones: a few to go to when
-/// the near ones are lost or full, each costing a question in every poll interval.
+/// Remote replicas followed in addition to all replicas of the own data centre.
+///
+/// They serve as fallback when the near ones are lost or full.
 const FAR_FOLLOWED: usize = 16;
 
-/// The replicas that this entry may route to: all of a small fleet, else the near ones and
-/// a few far ones.
+/// Returns the replicas that this entry may route to: all of a small deployment, otherwise those of
+/// its data centre and some remote ones.
 ///
-/// Far ones are chosen by rank, so that each is followed by about as many entries.
+/// Remote replicas are chosen by rank, which distributes them evenly over entries.
 pub(crate) fn followed<'a>(
     node: &NodeName,
     data_centre: &DataCentreName,
--- a/crates/node/src/entry/observing/mod.rs
+++ b/crates/node/src/entry/observing/mod.rs
@@ -1,4 +1,4 @@
-//! Targets, polls of their members, and whether each may take requests.
+//! Targets, polls of their members, and their eligibility for requests.
 
 mod followed;
 mod pause;
@@ -9,6 +9,6 @@
 
 pub(crate) use pause::PauseGuard;
 pub(crate) use polls::Polls;
-pub(crate) use remote::RemoteSeen;
+pub(crate) use remote::RemoteObservation;
 pub(crate) use target::{Serving, Target};
 pub(crate) use targets::Targets;
--- a/crates/node/src/entry/observing/remote.rs
+++ b/crates/node/src/entry/observing/remote.rs
@@ -1,48 +1,48 @@
 use celeryhaven_types::TimeMs;
 
-/// What observers at other entries say of a replica, and when to look for oneself.
+/// Observations of a replica received from other entries.
 ///
-/// Guards against old news that looks fresh: an observation may be on its way for long, so its age
-/// counts from the moment it was asked for, by this node's own clock. One that was asked for before
-/// a doubt arose says nothing about it.
+/// The age of an observation counts from its request by this node's clock, because it may be
+/// delayed on the way. Observations requested before a loss was reported are ignored.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct RemoteSeen {
+pub(crate) struct RemoteObservation {
     as_of: Option<TimeMs>,
     not_before: TimeMs,
-    doubted_until: TimeMs,
+    distrusted_until: TimeMs,
 }
 
-impl RemoteSeen {
-    /// Takes an observation that was asked for at `asked_at` and was `age_ms` old when answered.
-    pub(crate) fn observed(&mut self, asked_at: TimeMs, age_ms: u64, is_whole: bool) {
-        if asked_at < self.not_before {
+impl RemoteObservation {
+    /// Applies an observation requested at `requested_at` that was `age_ms` old when answered.
+    pub(crate) fn observed(&mut self, requested_at: TimeMs, age_ms: u64, is_whole: bool) {
+        if requested_at < self.not_before {
             return;
         }
-        let as_of = TimeMs::new(asked_at.get().saturating_sub(age_ms));
+        let as_of = TimeMs::new(requested_at.get().saturating_sub(age_ms));
         self.as_of = if is_whole { self.as_of.max(Some(as_of)) } else { None };
     }
 
-    /// An observer says that the replica is not whole: only what is asked for from now on counts.
-    pub(crate) fn lost(&mut self, now: TimeMs) {
+    /// Discards observations requested up to now, because the replica was reported as not whole.
+    pub(crate) fn report_loss(&mut self, now: TimeMs) {
         self.as_of = None;
         self.not_before = now;
     }
 
-    /// A request from this node failed: until then only its own polls count.
-    pub(crate) fn doubt(&mut self, now: TimeMs, until: TimeMs) {
-        self.lost(now);
-        self.doubted_until = until;
+    /// Ignores observers until `until`, because a request from this node failed.
+    pub(crate) fn distrust(&mut self, now: TimeMs, until: TimeMs) {
+        self.report_loss(now);
+        self.distrusted_until = until;
     }
 
-    /// Until when what was seen holds.
+    /// Returns until when the latest observation is valid.
     pub(crate) fn until(&self, now: TimeMs, report_life_ms: u64) -> Option<TimeMs> {
         let until = self.as_of?.after(report_life_ms);
-        (until > now && self.doubted_until <= now).then_some(until)
+        (until > now && self.distrusted_until <= now).then_some(until)
     }
 
-    /// Whether this node has to look for itself: in doubt, or without news for this long.
-    pub(crate) fn is_silent(&self, now: TimeMs, patience_ms: u64) -> bool {
-        let is_old = self.as_of.is_none_or(|at| at.after(patience_ms) <= now);
-        is_old || self.doubted_until > now
+    /// Whether this node must poll by itself: observers are distrusted, or the latest observation
+    /// is too old.
+    pub(crate) fn is_older_than(&self, now: TimeMs, age_max_ms: u64) -> bool {
+        let is_old = self.as_of.is_none_or(|at| at.after(age_max_ms) <= now);
+        is_old || self.distrusted_until > now
     }
 }
--- a/crates/node/src/entry/observing/target.rs
+++ b/crates/node/src/entry/observing/target.rs
@@ -7,62 +7,57 @@
 use celeryhaven_wholeness::{Agreement, Flaw, Judgement};
 
 use crate::entry::ObservedLoad;
-use crate::entry::observing::RemoteSeen;
+use crate::entry::observing::RemoteObservation;
 
-/// Which kind of target it is, with what is known of it.
+/// Kind and reported state of a target.
 pub(crate) enum Serving {
-    /// One formation of a replica.
+    /// One generation of a replica.
     Replica {
-        /// Its name.
         name: ReplicaName,
-        /// Which formation.
         generation: Generation,
-        /// What its members report.
+        /// Agreement of its members' reports.
         agreement: Agreement,
-        /// Whether the placement lets it serve.
+        /// Phase in the placement.
         phase: ReplicaPhase,
-        /// Members in rank order; rank 0 takes the requests.
+        /// Members in rank order; rank 0 receives the requests.
         members: Vec<VmName>,
     },
     /// One VM of a plain service.
     Plain {
-        /// The VM.
         vm: VmName,
-        /// When its newest good report was asked for.
+        /// When its newest successful report was requested.
         seen_at: Option<TimeMs>,
     },
 }
 
-/// One target: a formation of a replica, or a VM of a plain service.
+/// A generation of a replica, or a VM of a plain service.
 pub(crate) struct Target {
-    /// Its key in the policy.
+    /// Key used by the policy.
     pub(crate) key: TargetKey,
-    /// What it is.
     pub(crate) serving: Serving,
-    /// Its data centre.
     pub(crate) data_centre: DataCentreName,
-    /// What the policy is told of it.
+    /// Profile for the policy.
     pub(crate) profile: TargetProfile,
-    /// Where requests go; unknown until the VM list names the VM.
+    /// Destination address; `None` until the VM list contains the VM.
     pub(crate) address: Option<SocketAddr>,
-    /// Whether configuration and placements still name it.
+    /// Whether configuration and placements contain it.
     pub(crate) wanted: bool,
-    /// Whether it falls to this node to observe it for others.
+    /// Whether this node observes it for other entries.
     pub(crate) is_observer: bool,
-    /// Whether this node polls its members itself.
+    /// Whether this node polls its members.
     pub(crate) is_polled: bool,
-    /// What other entries say of it.
-    pub(crate) remote: RemoteSeen,
-    /// The newest load of the VM that takes its requests, and when it came.
+    /// Observations of other entries.
+    pub(crate) remote: RemoteObservation,
+    /// Latest load of the VM that receives its requests, and when it was received.
     pub(crate) load: Option<(TimeMs, ObservedLoad)>,
-    /// Whether a VM of it leaves or is drained.
+    /// Whether any of its VMs is leaving or drained.
     pub(crate) leaving: bool,
-    /// The profile that the policy was told when it was last told it is up.
-    pub(crate) told: Option<TargetProfile>,
+    /// Profile last announced to the policy; `None` while it is down.
+    pub(crate) announced: Option<TargetProfile>,
 }
 
 impl Target {
-    /// A target of which nothing is known yet; its address comes with the VM list.
+    /// Creates a target without reports or address.
     pub(crate) fn new(
         key: TargetKey,
         serving: Serving,
@@ -77,16 +72,16 @@
             wanted: true,
             is_observer: true,
             is_polled: true,
-            remote: RemoteSeen::default(),
+            remote: RemoteObservation::default(),
             load: None,
             leaving: false,
             data_centre,
-            told: None,
+            announced: None,
         }
     }
 
-    /// Until when requests may leave for it; `None` if none may now.
-    pub(crate) fn routable_until(&self, now: TimeMs, report_life_ms: u64) -> Option<TimeMs> {
+    /// Returns until when requests may be sent to it; `None` if not now.
+    pub(crate) fn eligible_until(&self, now: TimeMs, report_life_ms: u64) -> Option<TimeMs> {
         if !self.wanted || self.leaving || self.address.is_none() {
             return None;
         }
@@ -94,7 +89,7 @@
             Serving::Replica { phase: ReplicaPhase::Serving, agreement, .. } => {
                 let own = agreement.judge(now).until();
                 let remote = self.remote.until(now, report_life_ms);
-                // What this node sees itself goes before what others saw.
+                // An observer relies on its own polls only.
                 if self.is_observer { own } else { own.max(remote) }
             }
             Serving::Replica { .. } => None,
@@ -104,12 +99,12 @@
         }
     }
 
-    /// Whether the policy takes it for up.
+    /// Whether it is announced to the policy as up.
     pub(crate) fn is_up(&self) -> bool {
-        self.told.is_some()
+        self.announced.is_some()
     }
 
-    /// The VM that takes its requests.
+    /// Returns the VM that receives its requests.
     pub(crate) fn front(&self) -> Option<&VmName> {
         match &self.serving {
             Serving::Replica { members, .. } => members.first(),
@@ -117,7 +112,7 @@
         }
     }
 
-    /// Every VM of it.
+    /// Returns all its VMs.
     pub(crate) fn vms(&self) -> &[VmName] {
         match &self.serving {
             Serving::Replica { members, .. } => members,
@@ -125,23 +120,23 @@
         }
     }
 
-    /// Takes a member's report; gives the load if this member takes the requests.
+    /// Applies a member's report; returns the load if this member receives the requests.
     pub(crate) fn report(
         &mut self,
         now: TimeMs,
-        asked_at: TimeMs,
+        requested_at: TimeMs,
         report: &MemberReport,
     ) -> Option<TargetLoad> {
         match &mut self.serving {
-            Serving::Replica { agreement, .. } => agreement.report(asked_at, report),
-            Serving::Plain { seen_at, .. } => *seen_at = (*seen_at).max(Some(asked_at)),
+            Serving::Replica { agreement, .. } => agreement.report(requested_at, report),
+            Serving::Plain { seen_at, .. } => *seen_at = (*seen_at).max(Some(requested_at)),
         }
         if self.front() != Some(&report.vm) {
             return None;
         }
-        self.load = Some((now, observed_load(report, now.since(asked_at))));
+        self.load = Some((now, observed_load(report, now.since(requested_at))));
         Some(TargetLoad {
-            age_ms: now.since(asked_at).saturating_add(report.load_age_ms),
+            age_ms: now.since(requested_at).saturating_add(report.load_age_ms),
             running: report.running,
             waiting: report.waiting,
             prefill_tokens_queued: report.prefill_tokens_queued,
@@ -151,7 +146,7 @@
         })
     }
 
-    /// Forgets what a member reported: it did not answer, or a request to it failed.
+    /// Discards the report of a member that did not answer or to which a request failed.
     pub(crate) fn forget(&mut self, vm: &VmName) {
         match &mut self.serving {
             Serving::Replica { agreement, .. } => agreement.forget(vm),
@@ -160,7 +155,7 @@
         }
     }
 
-    /// What stands against it as a replica, if it is one and not whole.
+    /// Returns why the replica is not whole; `None` if it is whole or a plain service.
     pub(crate) fn flaw(&self, now: TimeMs) -> Option<Flaw> {
         let Serving::Replica { agreement, .. } = &self.serving else { return None };
         match agreement.judge(now) {
@@ -169,7 +164,7 @@
         }
     }
 
-    /// The replica and generation that a request to it is meant for.
+    /// Returns the replica and generation that requests must name.
     pub(crate) fn formation(&self) -> Option<(ReplicaName, Generation)> {
         match &self.serving {
             Serving::Replica { name, generation, .. } => Some((name.clone(), *generation)),
--- a/crates/node/src/entry/observing/targets.rs
+++ b/crates/node/src/entry/observing/targets.rs
@@ -12,52 +12,50 @@
 use crate::entry::observing::followed::followed;
 use crate::entry::observing::{Serving, Target};
 
-/// Every target this node has known, as an arena of small keys.
+/// All targets since startup, in an arena indexed by key.
 ///
-/// A formation of a replica keeps its key for ever: another generation is another target, so a late
-/// event of an old formation never counts for the new one.
+/// Each generation of a replica has its own key, so a late event of an old generation never applies
+/// to a new one.
 #[derive(Default)]
 pub(crate) struct Targets {
     arena: Vec<Target>,
     replicas: BTreeMap<(ReplicaName, Generation), TargetKey>,
     plain: BTreeMap<(ServiceName, VmName), TargetKey>,
     by_vm: BTreeMap<VmName, Vec<TargetKey>>,
-    /// Targets that are wanted, or that the policy still takes for up.
+    /// Targets that are wanted or still announced as up.
     current: BTreeSet<TargetKey>,
 }
 
 impl Targets {
-    /// The target with this key.
     pub(crate) fn get(&self, key: TargetKey) -> Option<&Target> {
         self.arena.get(key.get() as usize)
     }
 
-    /// The target with this key, to change it.
     pub(crate) fn get_mut(&mut self, key: TargetKey) -> Option<&mut Target> {
         self.arena.get_mut(key.get() as usize)
     }
 
-    /// The wanted formation of a replica with this generation.
+    /// Returns the key of a generation of a replica.
     pub(crate) fn replica(&self, name: &ReplicaName, generation: Generation) -> Option<TargetKey> {
         self.replicas.get(&(name.clone(), generation)).copied()
     }
 
-    /// Every target, to change it.
+    /// Iterates over all targets, including obsolete ones.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Target> {
         self.arena.iter_mut()
     }
 
-    /// Every target that still counts; those of the past stay in the arena and are passed over.
+    /// Iterates over the targets that are wanted or still announced as up.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Target> {
         self.current.iter().filter_map(|key| self.get(*key))
     }
 
-    /// The wanted targets that a VM belongs to.
+    /// Returns the wanted targets that contain a VM.
     pub(crate) fn of_vm(&self, vm: &VmName) -> Vec<TargetKey> {
         self.by_vm.get(vm).cloned().unwrap_or_default()
     }
 
-    /// Addresses of all VMs of wanted targets, to be polled.
+    /// Returns the addresses of all VMs of wanted targets that this node polls.
     pub(crate) fn members(&self, vms: &BTreeMap<VmName, VmEntry>) -> BTreeMap<VmName, SocketAddr> {
         let polled = self.iter().filter(|target| target.wanted && target.is_polled);
         polled
@@ -71,7 +69,7 @@
             .collect()
     }
 
-    /// Brings the targets in line with configuration, placements and the VM list.
+    /// Updates the targets from configuration, placements and the VM list.
     pub(crate) fn reconcile<'a>(
         &mut self,
         settings: &EntrySettings,
@@ -82,16 +80,16 @@
         let mut wanted = BTreeSet::new();
         let node = &settings.incarnation.node;
         for (placement, replica) in followed(node, &settings.data_centre, placements) {
-            wanted.extend(self.want_replica(settings, config, replica, placement));
+            wanted.extend(self.upsert_replica(settings, config, replica, placement));
         }
         for service in &config.intent.services {
             for target in &service.targets {
-                wanted.insert(self.want_plain(settings, service, target));
+                wanted.insert(self.upsert_plain(settings, service, target));
             }
         }
         for target in &mut self.arena {
             target.wanted = wanted.contains(&target.key);
-            target.leaving = target.vms().iter().any(|vm| leaves(config, vms, vm));
+            target.leaving = target.vms().iter().any(|vm| is_leaving(config, vms, vm));
             if let Serving::Replica { members, .. } = &target.serving {
                 let front = members.first().and_then(|vm| vms.get(vm));
                 target.address = front.map(|entry| entry.address);
@@ -102,7 +100,7 @@
         self.index_vms();
     }
 
-    fn want_replica(
+    fn upsert_replica(
         &mut self,
         settings: &EntrySettings,
         config: &Config,
@@ -142,7 +140,7 @@
         Some(key)
     }
 
-    fn want_plain(
+    fn upsert_plain(
         &mut self,
         settings: &EntrySettings,
         service: &PlainService,
@@ -159,11 +157,11 @@
         let key =
             known.unwrap_or_else(|| self.add(serving(), profile.clone(), &target.data_centre));
         self.plain.insert(id, key);
-        if let Some(held) = self.get_mut(key) {
-            held.profile = profile;
-            if held.address != Some(target.address) {
-                held.forget(&target.vm);
-                held.address = Some(target.address);
+        if let Some(existing) = self.get_mut(key) {
+            existing.profile = profile;
+            if existing.address != Some(target.address) {
+                existing.forget(&target.vm);
+                existing.address = Some(target.address);
             }
         }
         key
@@ -189,7 +187,7 @@
     }
 }
 
-fn leaves(config: &Config, vms: &BTreeMap<VmName, VmEntry>, vm: &VmName) -> bool {
+fn is_leaving(config: &Config, vms: &BTreeMap<VmName, VmEntry>, vm: &VmName) -> bool {
     let listed = vms.get(vm).is_some_and(|entry| entry.phase == VmPhase::Leaving);
     listed || config.drained_vms.contains(vm)
 }
--- a/crates/node/src/entry/peer.rs
+++ b/crates/node/src/entry/peer.rs
@@ -7,19 +7,19 @@
     /// A message between entries.
     #[serde(rename_all = "snake_case")]
     pub enum PeerMessage {
-        /// Who is a member.
+        /// Membership protocol.
         Membership(Message),
-        /// Configuration and placements.
+        /// Distribution of configuration and placements.
         Spread(SpreadMessage),
-        /// What an observer saw of one replica.
+        /// An observer's state of one replica.
         Observed {
             /// The replica.
             replica: ReplicaName,
-            /// Which formation.
+            /// Its generation.
             generation: Generation,
             /// The boots that all members agree on; empty when the replica is not whole.
             boots: Vec<Boot>,
-            /// Age of the oldest member report that this rests on, in milliseconds.
+            /// Age of the oldest member report used, in milliseconds.
             age_ms: u64,
             /// Requests running at rank 0.
             running: u32,
@@ -27,53 +27,53 @@
             waiting: u32,
             /// Prompt tokens still to be prefilled at rank 0.
             prefill_tokens_queued: u64,
-            /// KV cache in use, in thousandths.
+            /// KV cache utilisation, in thousandths.
             kv_used_permille: u32,
             /// Tokens generated since the engine of rank 0 started.
             tokens_generated: u64,
         },
-        /// Asks an observer for what it sees of the replicas that it observes.
+        /// Requests the observations of an observer.
         Observe {
-            /// The sender's own time, given back with the answer.
+            /// The sender's clock, returned in the answer.
             asked: u64,
         },
-        /// What an observer sees, as an answer.
+        /// Answers [`PeerMessage::Observe`].
         Observations {
-            /// The time that came with the question.
+            /// The clock value of the query.
             asked: u64,
-            /// Every replica that it observes.
+            /// Every replica observed by the sender.
             replicas: Vec<ReplicaObservation>,
         },
     }
 
-    /// One replica as its observer sees it.
+    /// The state of one replica as reported by its observer.
     #[serde(deny_unknown_fields)]
     pub struct ReplicaObservation {
         /// The replica.
         pub replica: ReplicaName,
-        /// Which formation.
+        /// Its generation.
         pub generation: Generation,
-        /// Whether fresh reports of all members agree.
+        /// Whether current reports of all members agree.
         pub whole: bool,
-        /// Age of the oldest member report that this rests on, in milliseconds.
+        /// Age of the oldest member report used, in milliseconds.
         pub age_ms: u64,
-        /// Load of rank 0, lagging; `None` before its first report.
+        /// Last known load of rank 0; `None` before its first report.
         pub load: Option<ObservedLoad>,
     }
 
-    /// Load of a replica's rank 0.
+    /// Load of rank 0 of a replica.
     #[derive(Copy, Eq)]
     #[serde(deny_unknown_fields)]
     pub struct ObservedLoad {
-        /// Age of the figures when they were sent, in milliseconds.
+        /// Age of the values when they were sent, in milliseconds.
         pub age_ms: u64,
-        /// Requests running.
+        /// Running requests.
         pub running: u32,
-        /// Requests waiting.
+        /// Waiting requests.
         pub waiting: u32,
         /// Prompt tokens still to be prefilled.
         pub prefill_tokens_queued: u64,
-        /// KV cache in use, in thousandths.
+        /// KV cache utilisation, in thousandths.
         pub kv_used_permille: u32,
         /// Tokens generated since its engine started.
         pub tokens_generated: u64,
--- a/crates/node/src/entry/serving/admission.rs
+++ b/crates/node/src/entry/serving/admission.rs
@@ -6,7 +6,7 @@
 use crate::entry::serving::{Request, Stage};
 use crate::entry::{EntryAction, EntryNode, KeyUse};
 
-/// How requests come in, and how their callers leave.
+/// Arrival of requests and disconnection of callers.
 impl<P: RequestPolicy> EntryNode<P> {
     pub(crate) fn arrived(
         &mut self,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Hands a request to the policy, or refuses what no target may run for this caller.
+    /// Passes a request to the policy, or refuses it if no target may run it for this caller.
     pub(crate) fn admit(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<EntryAction>) {
         let is_serving = self.is_serving();
         let Some(request) = self.requests.get_mut(ticket) else { return };
@@ -43,38 +43,43 @@
             Some(config) => forbidden(config, &request.head).map(Refusal::not_run),
         };
         if let Some(refusal) = refused {
-            return self.end_refused(now, ticket, refusal, out);
+            return self.complete_refused(now, ticket, refusal, out);
         }
         let mut decisions = Vec::new();
         let event = PolicyEvent::Arrived { ticket, head: &request.head };
         self.policy.handle(now, event, &mut decisions);
         for decision in decisions {
-            self.decide(now, decision, out);
+            self.execute(now, decision, out);
         }
     }
 
-    /// The caller closed its connection.
+    /// Handles a caller that closed its connection.
     ///
-    /// A guarded request that has left for a target runs on: a retry with the same key gets its
-    /// answer, where a cancel would leave only "may have run" to say.
-    pub(crate) fn caller_gone(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<EntryAction>) {
+    /// A keyed request with a running attempt continues, so that a retry with the same key receives
+    /// its answer instead of "may have run".
+    pub(crate) fn caller_disconnected(
+        &mut self,
+        now: TimeMs,
+        ticket: Ticket,
+        out: &mut Vec<EntryAction>,
+    ) {
         let Some(request) = self.requests.get_mut(ticket) else { return };
         if request.keyed && request.running.is_some() {
-            request.caller_gone = true;
+            request.caller_disconnected = true;
             return;
         }
         let Some(request) = self.requests.remove(ticket) else { return };
         if let Some(running) = request.running {
             out.push(EntryAction::CancelAttempt { ticket, attempt: running.attempt });
         }
-        let refusal = Refusal { verdict: request.verdict(), ..GONE };
-        self.key_ended_refused(now, ticket, &request, refusal, out);
+        let refusal = Refusal { verdict: request.verdict(), ..CALLER_DISCONNECTED };
+        self.complete_key_refused(now, ticket, &request, refusal, out);
         if request.stage == Stage::Admitted {
-            self.ask(now, PolicyEvent::CallerDisconnected { ticket }, out);
+            self.notify_policy(now, PolicyEvent::CallerDisconnected { ticket }, out);
         }
     }
 
-    /// A timer of a request is due.
+    /// Handles a request timer that is due.
     pub(crate) fn request_timer(
         &mut self,
         now: TimeMs,
@@ -84,16 +89,16 @@
         let Some(request) = self.requests.get_mut(ticket) else { return };
         let cancelled = request.running.and_then(|running| running.cancelled_until);
         if cancelled.is_some_and(|until| until <= now) {
-            self.attempt_broken(now, ticket, Verdict::MayHaveRun, out);
-        } else if request.stage == Stage::PassedOn {
-            self.passed_on(ticket, false, out);
+            self.attempt_failed(now, ticket, Verdict::MayHaveRun, out);
+        } else if request.stage == Stage::Delegated {
+            self.delegation_completed(ticket, false, out);
         }
     }
 }
 
-const GONE: Refusal = Refusal::not_run(RefusalCode::CallerGone);
+const CALLER_DISCONNECTED: Refusal = Refusal::not_run(RefusalCode::CallerGone);
 
-/// Why nothing may run the request for this organisation, if so.
+/// Returns why the organisation may not run the request, if so.
 fn forbidden(config: &Config, head: &RequestHead) -> Option<RefusalCode> {
     let may_use = |organisations: &[OrganisationName]| {
         organisations.is_empty() || organisations.contains(&head.organisation)
@@ -105,17 +110,17 @@
                     && adapter.as_ref().is_none_or(|adapter| known.adapters.contains(adapter))
             });
             let allowed: Vec<bool> = serves.map(|known| may_use(&known.organisations)).collect();
-            verdict_of(&allowed, RefusalCode::UnknownModel)
+            refusal_code(&allowed, RefusalCode::UnknownModel)
         }
         RequestClass::Plain { service } => {
             let named = config.intent.services.iter().filter(|known| known.name == *service);
             let allowed: Vec<bool> = named.map(|known| may_use(&known.organisations)).collect();
-            verdict_of(&allowed, RefusalCode::UnknownService)
+            refusal_code(&allowed, RefusalCode::UnknownService)
         }
     }
 }
 
-fn verdict_of(allowed: &[bool], unknown: RefusalCode) -> Option<RefusalCode> {
+fn refusal_code(allowed: &[bool], unknown: RefusalCode) -> Option<RefusalCode> {
     match allowed {
         [] => Some(unknown),
         some if some.contains(&true) => None,
--- a/crates/node/src/entry/serving/attempts.rs
+++ b/crates/node/src/entry/serving/attempts.rs
@@ -3,9 +3,9 @@
 
 use crate::entry::{Attempt, AttemptEvent, EntryAction, EntryNode};
 
-/// What becomes of attempts at targets.
+/// Progress and completion of attempts.
 impl<P: RequestPolicy> EntryNode<P> {
-    /// Takes an attempt's event; one of an earlier attempt or an ended request changes nothing.
+    /// Processes an attempt event; ignores events of earlier attempts and of completed requests.
     pub(crate) fn attempt_event(
         &mut self,
         now: TimeMs,
@@ -22,7 +22,7 @@
             AttemptEvent::Sent => {}
             AttemptEvent::Started => {
                 if !std::mem::replace(&mut running.started, true) {
-                    self.ask(now, PolicyEvent::Started { ticket }, out);
+                    self.notify_policy(now, PolicyEvent::Started { ticket }, out);
                 }
             }
             AttemptEvent::Progress { tokens } => {
@@ -31,19 +31,19 @@
             AttemptEvent::Finished => self.attempt_finished(now, ticket, out),
             AttemptEvent::ConnectFailed => {
                 self.suspect(now, target, out);
-                self.attempt_broken(now, ticket, Verdict::NotRun, out);
+                self.attempt_failed(now, ticket, Verdict::NotRun, out);
             }
-            AttemptEvent::Expired => self.attempt_broken(now, ticket, Verdict::NotRun, out),
+            AttemptEvent::Expired => self.attempt_failed(now, ticket, Verdict::NotRun, out),
             AttemptEvent::Refused => {
-                self.hasten_polls(now, target);
-                self.attempt_broken(now, ticket, Verdict::NotRun, out);
+                self.expedite_polls(now, target);
+                self.attempt_failed(now, ticket, Verdict::NotRun, out);
             }
             AttemptEvent::Broken => {
-                // An attempt that this node cancelled says nothing about its target.
+                // A failure caused by our own cancel is no evidence against the target.
                 if !was_cancelled {
                     self.suspect(now, target, out);
                 }
-                self.attempt_broken(now, ticket, Verdict::MayHaveRun, out);
+                self.attempt_failed(now, ticket, Verdict::MayHaveRun, out);
             }
         }
     }
@@ -51,12 +51,12 @@
     fn attempt_finished(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<EntryAction>) {
         let Some(request) = self.requests.remove(ticket) else { return };
         let output_tokens = request.delivered_tokens;
-        self.key_ended_answered(now, ticket, &request, out);
-        self.ask(now, PolicyEvent::Finished { ticket, output_tokens }, out);
+        self.complete_key_answered(now, ticket, &request, out);
+        self.notify_policy(now, PolicyEvent::Finished { ticket, output_tokens }, out);
     }
 
-    /// Ends the running attempt; the policy sends the request elsewhere, or it gets its refusal.
-    pub(crate) fn attempt_broken(
+    /// Completes the running attempt as failed; the policy retries or refuses the request.
+    pub(crate) fn attempt_failed(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
@@ -64,10 +64,10 @@
         out: &mut Vec<EntryAction>,
     ) {
         let Some(request) = self.requests.get_mut(ticket) else { return };
-        request.attempt_ended(verdict);
-        self.ask(now, PolicyEvent::AttemptFailed { ticket, verdict }, out);
+        request.complete_attempt(verdict);
+        self.notify_policy(now, PolicyEvent::AttemptFailed { ticket, verdict }, out);
         if self.requests.get(ticket).is_some_and(|request| request.is_final) {
-            self.give_up(now, ticket, RefusalCode::AnswerLost, out);
+            self.refuse_admitted(now, ticket, RefusalCode::AnswerLost, out);
         }
     }
 }
--- a/crates/node/src/entry/serving/decisions.rs
+++ b/crates/node/src/entry/serving/decisions.rs
@@ -4,29 +4,37 @@
 use crate::entry::serving::Running;
 use crate::entry::{EntryAction, EntryNode};
 
-/// What the policy decides, checked against what this node knows of the request and the target.
+/// Execution of the policy's decisions, validated against the state of request and target.
 impl<P: RequestPolicy> EntryNode<P> {
-    /// Gives the policy an event and carries its decisions out.
-    pub(crate) fn ask(&mut self, now: TimeMs, event: PolicyEvent<'_>, out: &mut Vec<EntryAction>) {
+    /// Passes an event to the policy and executes its decisions.
+    pub(crate) fn notify_policy(
+        &mut self,
+        now: TimeMs,
+        event: PolicyEvent<'_>,
+        out: &mut Vec<EntryAction>,
+    ) {
         let mut decisions = Vec::new();
         self.policy.handle(now, event, &mut decisions);
         for decision in decisions {
-            self.decide(now, decision, out);
+            self.execute(now, decision, out);
         }
     }
 
-    pub(crate) fn decide(&mut self, now: TimeMs, decision: Decision, out: &mut Vec<EntryAction>) {
+    pub(crate) fn execute(&mut self, now: TimeMs, decision: Decision, out: &mut Vec<EntryAction>) {
         match decision {
             Decision::Dispatch { ticket, target } => self.dispatch(now, ticket, target, out),
-            Decision::Refuse { ticket, refusal } => self.end_refused(now, ticket, refusal, out),
+            Decision::Refuse { ticket, refusal } => {
+                self.complete_refused(now, ticket, refusal, out);
+            }
             Decision::Cancel { ticket } => self.cancel(now, ticket, out),
         }
     }
 
-    /// Sends a request to a target, unless the request may not run again or the target is lost.
+    /// Sends a request to a target, unless the request may not run again or the target is
+    /// unavailable.
     ///
-    /// `send_before` bounds two pauses of this process after the decision: the caller's deadline,
-    /// and the moment at which the newest reports no longer prove that the target is whole.
+    /// `send_before` limits the effect of a process pause after the decision: it is the earlier of
+    /// the caller's deadline and the expiry of the target's wholeness reports.
     fn dispatch(
         &mut self,
         now: TimeMs,
@@ -39,17 +47,17 @@
             return;
         }
         if request.is_final {
-            return self.give_up(now, ticket, RefusalCode::AnswerLost, out);
+            return self.refuse_admitted(now, ticket, RefusalCode::AnswerLost, out);
         }
         let target = self.targets.get(key);
         let life_ms = self.settings.report_life_ms;
         let until = target.filter(|_| !self.pause.is_holding());
-        let until = until.and_then(|target| target.routable_until(now, life_ms));
+        let until = until.and_then(|target| target.eligible_until(now, life_ms));
         let address = target.and_then(|target| target.address);
         let (Some(target), Some(until), Some(address)) = (target, until, address) else {
             self.announce(now, key, out);
-            let broken = PolicyEvent::AttemptFailed { ticket, verdict: Verdict::NotRun };
-            return self.ask(now, broken, out);
+            let failed = PolicyEvent::AttemptFailed { ticket, verdict: Verdict::NotRun };
+            return self.notify_policy(now, failed, out);
         };
         request.attempt = request.attempt.next();
         let attempt = request.attempt;
@@ -65,10 +73,10 @@
         });
     }
 
-    /// Stops the running attempt; it ends when the driver says how, or after `cancel_wait_ms`.
+    /// Cancels the running attempt; it completes when the driver reports, or after
+    /// `cancel_wait_ms`.
     ///
-    /// A cancel that is not acknowledged proves nothing, so without a word from the driver the
-    /// attempt counts as run.
+    /// An unacknowledged cancel proves nothing, so without a report the attempt counts as run.
     pub(crate) fn cancel(&mut self, now: TimeMs, ticket: Ticket, out: &mut Vec<EntryAction>) {
         let until = now.after(self.settings.cancel_wait_ms);
         let Some(request) = self.requests.get_mut(ticket) else { return };
@@ -80,20 +88,20 @@
         }
     }
 
-    /// Ends a request that the policy holds, against or without its decision.
-    pub(crate) fn give_up(
+    /// Refuses a request held by the policy, and notifies the policy that it is gone.
+    pub(crate) fn refuse_admitted(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
         code: RefusalCode,
         out: &mut Vec<EntryAction>,
     ) {
-        self.end_refused(now, ticket, Refusal::not_run(code), out);
-        self.ask(now, PolicyEvent::CallerDisconnected { ticket }, out);
+        self.complete_refused(now, ticket, Refusal::not_run(code), out);
+        self.notify_policy(now, PolicyEvent::CallerDisconnected { ticket }, out);
     }
 
-    /// Gives a request its final refusal, with the verdict that this node's own record proves.
-    pub(crate) fn end_refused(
+    /// Completes a request with a refusal whose verdict follows from this node's own record.
+    pub(crate) fn complete_refused(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
@@ -105,9 +113,9 @@
             out.push(EntryAction::CancelAttempt { ticket, attempt: running.attempt });
         }
         let refusal = Refusal { verdict: request.verdict(), ..refusal };
-        if !request.caller_gone {
+        if !request.caller_disconnected {
             out.push(EntryAction::Refuse { ticket, refusal });
         }
-        self.key_ended_refused(now, ticket, &request, refusal, out);
+        self.complete_key_refused(now, ticket, &request, refusal, out);
     }
 }
--- a/crates/node/src/entry/serving/fingerprint.rs
+++ b/crates/node/src/entry/serving/fingerprint.rs
@@ -3,9 +3,9 @@
 const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// Tells requests of different content apart, alike on every node (FNV-1a, 64 bits).
+/// Returns a hash of the request content, identical on every node (FNV-1a, 64 bits).
 ///
-/// It covers what the head knows of the content: class, lengths and the prompt's block hashes.
+/// Covers class, lengths and the prompt's block hashes.
 pub(crate) fn fingerprint(head: &RequestHead) -> u64 {
     let name = match &head.class {
         RequestClass::Completion { model, .. } => model.as_str(),
--- a/crates/node/src/entry/serving/keys.rs
+++ b/crates/node/src/entry/serving/keys.rs
@@ -5,12 +5,12 @@
 use crate::entry::serving::{Request, Stage, fingerprint};
 use crate::entry::{EntryAction, EntryNode};
 
-/// How much longer than its deadline a request passed on may go without an answer.
-const PASSED_ON_GRACE_MS: u64 = 1_000;
-/// When to ask again while the issuer of a key cannot be reached.
+/// How long after its deadline a delegated request may stay without an answer.
+const DELEGATION_GRACE_MS: u64 = 1_000;
+/// Retry delay for callers while the issuer of a key is unreachable.
 const ISSUER_RETRY_AFTER_MS: u64 = 1_000;
 
-/// How keys guard requests against a second run.
+/// At-most-once execution of keyed requests.
 impl<P: RequestPolicy> EntryNode<P> {
     pub(crate) fn key_presented(
         &mut self,
@@ -35,7 +35,7 @@
         self.apply_once(now, actions, out);
     }
 
-    /// Carries out what the guard wants done.
+    /// Executes the actions of the at-most-once guard.
     pub(crate) fn apply_once(
         &mut self,
         now: TimeMs,
@@ -45,7 +45,7 @@
         for action in actions {
             match action {
                 OnceAction::Run { ticket } => self.admit(now, ticket, out),
-                OnceAction::PassOn { ticket, to } => self.pass_on(ticket, to, out),
+                OnceAction::PassOn { ticket, to } => self.delegate(ticket, to, out),
                 OnceAction::Refuse { ticket, refusal } => {
                     if self.requests.remove(ticket).is_some() {
                         out.push(EntryAction::Refuse { ticket, refusal });
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Passes a request on to the incarnation that alone may run its key.
+    /// Delegates a request to the incarnation that alone may run its key.
     ///
-    /// Guards against a second run: if that incarnation is gone, an earlier try may have run there
-    /// and nobody can tell, so the request is refused as "may have run".
-    fn pass_on(&mut self, ticket: Ticket, to: Incarnation, out: &mut Vec<EntryAction>) {
+    /// If that incarnation no longer exists, an earlier attempt may have run there, so the request
+    /// is refused as "may have run".
+    fn delegate(&mut self, ticket: Ticket, to: Incarnation, out: &mut Vec<EntryAction>) {
         let address = self.peers.address_of(&to);
         let Some(request) = self.requests.get_mut(ticket) else { return };
         let Some(address) = address else {
@@ -78,15 +78,20 @@
             let refusal = Refusal::may_have_run(RefusalCode::IssuerGone);
             return out.push(EntryAction::Refuse { ticket, refusal });
         };
-        request.stage = Stage::PassedOn;
-        let until = request.deadline_at.after(PASSED_ON_GRACE_MS);
+        request.stage = Stage::Delegated;
+        let until = request.deadline_at.after(DELEGATION_GRACE_MS);
         self.requests.set_timer(until, ticket);
         out.push(EntryAction::PassOn { ticket, to, address });
     }
 
-    /// A request passed on came back; without an answer it may have run at the issuer.
-    pub(crate) fn passed_on(&mut self, ticket: Ticket, answered: bool, out: &mut Vec<EntryAction>) {
-        if self.requests.get(ticket).is_none_or(|request| request.stage != Stage::PassedOn) {
+    /// Completes a delegated request; without an answer it may have run at the issuer.
+    pub(crate) fn delegation_completed(
+        &mut self,
+        ticket: Ticket,
+        answered: bool,
+        out: &mut Vec<EntryAction>,
+    ) {
+        if self.requests.get(ticket).is_none_or(|request| request.stage != Stage::Delegated) {
             return;
         }
         self.requests.remove(ticket);
@@ -97,7 +102,7 @@
         }
     }
 
-    pub(crate) fn key_ended_answered(
+    pub(crate) fn complete_key_answered(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
@@ -111,7 +116,7 @@
         }
     }
 
-    pub(crate) fn key_ended_refused(
+    pub(crate) fn complete_key_refused(
         &mut self,
         now: TimeMs,
         ticket: Ticket,
@@ -124,7 +129,7 @@
         }
         match request.stage {
             Stage::Keyed => self.once.gone(ticket),
-            Stage::PassedOn => {}
+            Stage::Delegated => {}
             Stage::Admitted => {
                 let mut actions = Vec::new();
                 self.once.refused(ticket, refusal, &mut actions);
--- a/crates/node/src/entry/serving/mod.rs
+++ b/crates/node/src/entry/serving/mod.rs
@@ -1,4 +1,4 @@
-//! The life of a request between its arrival and its final answer.
+//! Request processing from arrival to final answer.
 
 mod admission;
 mod attempts;
--- a/crates/node/src/entry/serving/request.rs
+++ b/crates/node/src/entry/serving/request.rs
@@ -3,57 +3,53 @@
 
 use crate::entry::Attempt;
 
-/// Where a request stands.
+/// Processing stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// The state of its key is being found out, or another request with its key runs.
+    /// Waits for the state of its key, or for another request with the same key.
     Keyed,
-    /// Another entry runs it.
-    PassedOn,
-    /// The policy holds it: it waits for a target or runs at one.
+    /// Delegated to another entry.
+    Delegated,
+    /// Held by the policy: queued or running at a target.
     Admitted,
 }
 
-/// The attempt that runs now.
+/// The current attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Running {
-    /// Which attempt.
     pub(crate) attempt: Attempt,
-    /// At which target.
     pub(crate) target: TargetKey,
-    /// Whether the head of the answer came.
+    /// Whether the response head arrived.
     pub(crate) started: bool,
-    /// When it counts as broken although the driver has not said so, once it is cancelled.
+    /// Set by a cancel: when the attempt counts as failed without a report from the driver.
     pub(crate) cancelled_until: Option<TimeMs>,
 }
 
-/// One request of a caller.
+/// An active request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// What is known of it.
     pub(crate) head: RequestHead,
-    /// When its answer is worthless.
+    /// When the caller's deadline expires.
     pub(crate) deadline_at: TimeMs,
-    /// Where it stands.
     pub(crate) stage: Stage,
-    /// Whether a key guards it against a second run.
+    /// Whether a key guards it against running twice.
     pub(crate) keyed: bool,
-    /// The newest attempt.
+    /// Number of the latest attempt.
     pub(crate) attempt: Attempt,
-    /// The attempt that runs now.
+    /// The current attempt of a request.
     pub(crate) running: Option<Running>,
-    /// Tokens that the caller has.
+    /// Tokens delivered to the caller.
     pub(crate) delivered_tokens: u32,
-    /// Whether an attempt that has ended may have run.
+    /// Whether a completed attempt may have run.
     pub(crate) may_have_run: bool,
-    /// Whether no further attempt may be made.
+    /// Whether further attempts are forbidden.
     pub(crate) is_final: bool,
-    /// Whether its caller has gone; it runs on for a retry with the same key.
-    pub(crate) caller_gone: bool,
+    /// Whether its caller disconnected; it continues for a retry with the same key.
+    pub(crate) caller_disconnected: bool,
 }
 
 impl Request {
-    /// A request that arrived at `now`.
+    /// Creates a request that arrived at `now`.
     pub(crate) fn new(now: TimeMs, head: RequestHead) -> Self {
         Self {
             deadline_at: now.after(head.deadline_in_ms),
@@ -65,24 +61,24 @@
             delivered_tokens: 0,
             may_have_run: false,
             is_final: false,
-            caller_gone: false,
+            caller_disconnected: false,
         }
     }
 
-    /// Whether it runs at most once.
+    /// Whether it must run at most once.
     pub(crate) fn is_non_idempotent(&self) -> bool {
         self.head.idempotency == Idempotency::NonIdempotent
     }
 
-    /// The running attempt, if it is this one.
+    /// Returns the running attempt if it has this number.
     pub(crate) fn running_as(&mut self, attempt: Attempt) -> Option<&mut Running> {
         self.running.as_mut().filter(|running| running.attempt == attempt)
     }
 
-    /// What may be said of it if it ends without an answer now.
+    /// Returns the verdict if the request completes without an answer now.
     ///
-    /// An attempt that was handed to the driver counts as run until the driver has said that no
-    /// byte left: the driver works on another thread, so the byte may be leaving right now.
+    /// An attempt passed to the driver counts as run until the driver reports that no byte was
+    /// sent, because the driver runs on another thread.
     pub(crate) fn verdict(&self) -> Verdict {
         if self.may_have_run || self.running.is_some() {
             Verdict::MayHaveRun
@@ -91,12 +87,12 @@
         }
     }
 
-    /// Notes the end of the running attempt without a whole answer.
+    /// Completes the running attempt without a whole answer.
     ///
-    /// An attempt that may have run is the last one if the request is not idempotent, and if part
-    /// of a plain answer has gone to the caller: a second answer cannot be joined to half a first.
-    /// A stream of tokens goes on elsewhere, because engines resume at a token.
-    pub(crate) fn attempt_ended(&mut self, verdict: Verdict) {
+    /// An attempt that may have run is the last one if the request is not idempotent, or if part of
+    /// a plain answer was delivered, because a second answer cannot continue the first. A token
+    /// stream is resumed elsewhere, because engines can resume at a token.
+    pub(crate) fn complete_attempt(&mut self, verdict: Verdict) {
         let Some(running) = self.running.take() else { return };
         if verdict != Verdict::MayHaveRun {
             return;
--- a/crates/node/src/entry/serving/requests.rs
+++ b/crates/node/src/entry/serving/requests.rs
@@ -5,7 +5,7 @@
 
 use crate::entry::serving::Request;
 
-/// Every request without a final answer, with the timers that guard them.
+/// Active requests and their timers.
 #[derive(Default)]
 pub(crate) struct Requests {
     by_ticket: BTreeMap<Ticket, Request>,
@@ -13,27 +13,22 @@
 }
 
 impl Requests {
-    /// How many there are.
     pub(crate) fn len(&self) -> usize {
         self.by_ticket.len()
     }
 
-    /// Whether the ticket names one.
     pub(crate) fn contains(&self, ticket: Ticket) -> bool {
         self.by_ticket.contains_key(&ticket)
     }
 
-    /// The request with this ticket.
     pub(crate) fn get(&self, ticket: Ticket) -> Option<&Request> {
         self.by_ticket.get(&ticket)
     }
 
-    /// The request with this ticket, to change it.
     pub(crate) fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Request> {
         self.by_ticket.get_mut(&ticket)
     }
 
-    /// Adds a request.
     pub(crate) fn insert(&mut self, ticket: Ticket, request: Request) {
         self.by_ticket.insert(ticket, request);
     }
@@ -43,17 +38,17 @@
         self.by_ticket.remove(&ticket)
     }
 
-    /// Wants the ticket back from [`Requests::take_due`] at that instant.
+    /// Schedules a ticket for [`Requests::take_due`].
     pub(crate) fn set_timer(&mut self, at: TimeMs, ticket: Ticket) {
         self.timers.insert((at, ticket));
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     pub(crate) fn next_wake(&self) -> Option<TimeMs> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes one timer that is due.
+    /// Removes and returns a ticket whose timer is due.
     pub(crate) fn take_due(&mut self, now: TimeMs) -> Option<Ticket> {
         let due = self.next_wake()? <= now;
         if due { self.timers.pop_first().map(|(_, ticket)| ticket) } else { None }
--- a/crates/node/src/entry/settings.rs
+++ b/crates/node/src/entry/settings.rs
@@ -10,47 +10,48 @@
 use crate::entry::PeerEntry;
 
 state! {
-    /// What an entry node knows of itself before it hears anything.
+    /// Configuration of an entry node at startup.
     pub struct EntrySettings {
-        /// This start of this VM's process.
+        /// Node name and boot of this process.
         pub incarnation: Incarnation,
         /// Its data centre.
         pub data_centre: DataCentreName,
-        /// Where callers reach it.
+        /// Address for callers.
         pub caller_address: SocketAddr,
-        /// Where its peer link listens.
+        /// Address for peers.
         pub peer_address: SocketAddr,
         /// One-way delay to targets of other data centres, in microseconds.
         pub distances_us: BTreeMap<DataCentreName, u32>,
-        /// The same for data centres not named in `distances_us`.
+        /// Default for data centres not listed in `distances_us`.
         pub far_distance_us: u32,
-        /// Age at which a member's report no longer counts.
+        /// Age in milliseconds at which a member's report expires.
         pub report_life_ms: u64,
-        /// How often a member is polled.
+        /// Interval between polls of a member, in milliseconds.
         pub poll_interval_ms: u64,
-        /// How often the platform's VM list is read.
+        /// Interval between reads of the platform's VM list, in milliseconds.
         pub vm_list_interval_ms: u64,
-        /// The wall clock, in milliseconds since the Unix epoch, when the node's clock was zero.
+        /// Unix time in milliseconds at which the node's clock was zero.
         pub unix_at_clock_zero_ms: u64,
-        /// Peer addresses that are asked for the other entries at the start.
+        /// Peer addresses contacted at startup to discover the other entries.
         pub seeds: Vec<SocketAddr>,
-        /// Periods and timeouts of membership.
+        /// Membership intervals and timeouts.
         pub membership: MembershipSettings,
-        /// Periods and limits of the spread of configuration.
+        /// Intervals and limits of configuration distribution.
         pub spread: SpreadSettings,
-        /// How long callers keep an address answer; a leaving node serves on for that long.
+        /// How long callers cache an address answer, in milliseconds; a leaving node continues to
+        /// serve for that long.
         pub address_ttl_ms: u64,
-        /// How long a cancelled attempt may go without an end before it counts as broken.
+        /// Time in milliseconds after which a cancelled attempt without a result counts as failed.
         pub cancel_wait_ms: u64,
-        /// Entries known from the settings, until others are met.
+        /// Statically configured entries, used until membership discovers others.
         pub peers: Vec<PeerEntry>,
-        /// Bounds of the at-most-once guard.
+        /// Limits of the at-most-once guard.
         pub once: OnceSettings,
     }
 }
 
 impl EntrySettings {
-    /// Settings with the defaults for data centres about a millisecond apart.
+    /// Creates settings with defaults for data centres about a millisecond apart.
     pub fn new(
         incarnation: Incarnation,
         data_centre: DataCentreName,
@@ -84,28 +85,28 @@
         self
     }
 
-    /// Sets how old a member's report may be and how often members are polled.
+    /// Sets the lifetime of member reports and the poll interval, in milliseconds.
     pub const fn with_reports(mut self, report_life_ms: u64, poll_interval_ms: u64) -> Self {
         self.report_life_ms = report_life_ms;
         self.poll_interval_ms = poll_interval_ms;
         self
     }
 
-    /// Names the other entries and where their peer links listen.
+    /// Sets the other entries and their peer addresses.
     pub fn with_peers(mut self, peers: Vec<PeerEntry>) -> Self {
         self.peers = peers;
         self
     }
 
-    /// Age of the last news of an observer at which a node polls for itself.
+    /// Age of the last observation at which a node starts polling by itself, in milliseconds.
     ///
-    /// Two intervals are the most that news grows old while both polls and questions are answered;
-    /// what is left of a report's life is the time for own polls before the news no longer counts.
-    pub(crate) fn observer_patience_ms(&self) -> u64 {
+    /// An observation ages by at most two intervals while polls and queries are answered. The rest
+    /// of the report lifetime leaves time for own polls before the observation expires.
+    pub(crate) fn observation_age_max_ms(&self) -> u64 {
         (2 * self.poll_interval_ms + 50).min(self.report_life_ms * 4 / 5)
     }
 
-    /// One-way delay to targets of a data centre, in microseconds.
+    /// Returns the one-way delay to targets of a data centre, in microseconds.
     pub(crate) fn distance_us(&self, data_centre: &DataCentreName) -> u32 {
         let near = u32::from(*data_centre != self.data_centre) * self.far_distance_us;
         self.distances_us.get(data_centre).copied().unwrap_or(near)
--- a/crates/node/src/entry/surface/answer.rs
+++ b/crates/node/src/entry/surface/answer.rs
@@ -4,23 +4,23 @@
 use celeryhaven_types::ConfigNumber;
 
 data! {
-    /// Request keys of one node; the body of `POST /v1/keys`.
+    /// Request keys issued by one node; the body of `POST /v1/keys`.
     #[serde(deny_unknown_fields)]
     pub struct KeyAnswer {
-        /// The keys; fewer than asked for while the limits are reached.
+        /// The keys; fewer than requested when a limit is reached.
         pub keys: Vec<String>,
-        /// How long each may be used, from now.
+        /// Lifetime of each key from now, in milliseconds.
         pub ttl_ms: u64,
     }
 
-    /// Which entries a caller should use, best first; the body of `GET /v1/address`.
+    /// Entries that a caller should use; the body of `GET /v1/address`.
     #[serde(deny_unknown_fields)]
     pub struct AddressAnswer {
-        /// Where entries answer callers, best first.
+        /// Caller addresses of entries, best first.
         pub addresses: Vec<SocketAddr>,
-        /// How long the caller may keep the answer.
+        /// How long the caller may cache the answer, in milliseconds.
         pub ttl_ms: u64,
-        /// The configuration in force at the node that answered; 0 before it knows one.
+        /// Number of the configuration in force at the answering node; 0 if it has none.
         pub config_number: ConfigNumber,
     }
 }
--- a/crates/node/src/entry/surface/mod.rs
+++ b/crates/node/src/entry/surface/mod.rs
@@ -1,4 +1,4 @@
-//! What the driver asks a node directly: readiness, addresses, organisations, figures.
+//! Queries of the driver: readiness, addresses, organisations and status.
 
 mod answer;
 mod queries;
--- a/crates/node/src/entry/surface/queries.rs
+++ b/crates/node/src/entry/surface/queries.rs
@@ -10,58 +10,59 @@
     AddressAnswer, EntryNode, EntrySettings, EntryStatus, KeyAnswer, ReplicaStatus,
 };
 
-/// What the driver asks directly.
+/// Queries of the driver.
 impl<P: RequestPolicy> EntryNode<P> {
-    /// What the node was started with.
+    /// Returns the startup settings.
     pub fn settings(&self) -> &EntrySettings {
         &self.settings
     }
 
-    /// Whether the node takes new requests: it knows what to serve and has not left.
+    /// Whether the node accepts new requests.
     pub(crate) fn is_serving(&self) -> bool {
-        self.catalogue.config().is_some() && self.fleet.may_serve() && !self.has_lapsed
+        self.catalogue.config().is_some() && self.fleet.may_serve() && !self.has_expired
     }
 
-    /// Whether the node takes new requests and wants to be named in address answers.
+    /// Whether the node accepts new requests and may be named in address answers.
     pub fn is_ready(&self) -> bool {
         self.is_serving() && self.leaving_since.is_none()
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Option<&Config> {
         self.catalogue.config()
     }
 
-    /// The number of the configuration in force here.
+    /// Returns the number of the configuration in force.
     pub fn config_number(&self) -> Option<ConfigNumber> {
         self.config().map(|config| config.number)
     }
 
-    /// The organisation that an API key belongs to, by the key's SHA-256 in lowercase hexadecimal.
+    /// Returns the organisation that owns an API key, by the key's SHA-256 in lowercase
+    /// hexadecimal.
     pub fn organisation_by_key_hash(&self, sha256_hex: &str) -> Option<&Organisation> {
         let mut organisations = self.config()?.intent.organisations.iter();
         organisations.find(|known| known.api_key_sha256.iter().any(|hash| hash == sha256_hex))
     }
 
-    /// The plain service with this name.
+    /// Returns the plain service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&PlainService> {
         self.config()?.intent.services.iter().find(|service| service.name == *name)
     }
 
-    /// Which entries a caller should use: those of its data centre first.
+    /// Returns the entries that a caller should use, those of its data centre first.
     ///
-    /// The order within a data centre turns by one with each answer, so that callers who all ask on
-    /// the hour spread over the nodes. Nodes that leave or are drained are left out.
+    /// The order within a data centre rotates with each answer, which distributes synchronized
+    /// callers over the nodes. Leaving and drained nodes are omitted.
     pub fn addresses(&mut self, data_centre: Option<&DataCentreName>) -> AddressAnswer {
         let near = data_centre.unwrap_or(&self.settings.data_centre).clone();
         let turn = usize::try_from(self.address_answers).unwrap_or_default();
         self.address_answers = self.address_answers.wrapping_add(1);
         let entries = self.live_entries();
-        let of_place = |here: bool| -> Vec<SocketAddr> {
+        let addresses_of = |here: bool| -> Vec<SocketAddr> {
             let placed = entries.iter().filter(|(place, _)| (*place == near) == here);
             placed.map(|(_, address)| *address).collect()
         };
-        let (mut addresses, mut far) = (of_place(true), of_place(false));
+        let (mut addresses, mut far) = (addresses_of(true), addresses_of(false));
         rotate(&mut addresses, turn);
         rotate(&mut far, turn);
         addresses.append(&mut far);
@@ -84,7 +85,7 @@
         KeyAnswer { keys, ttl_ms: self.once.key_life_ms() }
     }
 
-    /// Figures for metrics and logs.
+    /// Returns the status for metrics and logs.
     pub fn status(&self, now: TimeMs) -> EntryStatus {
         let wanted = self.targets.iter().filter(|target| target.wanted);
         let replicas = wanted.filter_map(|target| {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Data centre and caller address of every entry that takes new requests, by name.
+    /// Returns data centre and caller address of every entry that accepts new requests, by name.
     pub(crate) fn live_entries(&self) -> Vec<(DataCentreName, SocketAddr)> {
         let drained = self.config().map_or(&[][..], |config| &config.drained_nodes);
         let own = self.settings.incarnation.node.as_str();
--- a/crates/node/src/entry/surface/status.rs
+++ b/crates/node/src/entry/surface/status.rs
@@ -3,31 +3,31 @@
 use celeryhaven_wholeness::Flaw;
 
 state! {
-    /// Figures of one node at one moment, for metrics and logs.
+    /// Status of one node for metrics and logs.
     pub struct EntryStatus {
-        /// Whether it takes new requests.
+        /// Whether it accepts new requests.
         pub ready: bool,
-        /// The configuration in force.
+        /// Number of the configuration in force.
         pub config_number: Option<ConfigNumber>,
-        /// Requests without a final answer.
+        /// Active requests.
         pub requests: usize,
-        /// Targets that may take requests.
+        /// Targets eligible for requests.
         pub targets_up: usize,
-        /// Objects of the Object API that could not be read as what they should be.
+        /// Objects of the Object API that could not be parsed.
         pub objects_unreadable: u64,
-        /// Every replica that a placement names.
+        /// Replicas that placements contain.
         pub replicas: Vec<ReplicaStatus>,
     }
 
-    /// One replica as this node sees it.
+    /// Status of one replica at this node.
     pub struct ReplicaStatus {
-        /// Its name.
+        /// The replica.
         pub replica: ReplicaName,
-        /// Which formation.
+        /// Its generation.
         pub generation: Generation,
-        /// Whether it may take requests.
+        /// Whether it is eligible for requests.
         pub is_up: bool,
-        /// What stands against its wholeness, if anything.
+        /// Why it is not whole; `None` if it is whole.
         pub flaw: Option<Flaw>,
     }
 }
--- a/crates/node/tests/common/callers.rs
+++ b/crates/node/tests/common/callers.rs
@@ -11,7 +11,7 @@
 use super::setup::{KeySource, ORGANISATION, Plan};
 use super::world::World;
 
-/// One operation of a caller.
+/// An operation of a caller, with all its retries.
 #[derive(Clone, Debug)]
 pub struct Operation {
     pub plan: Plan,
@@ -20,17 +20,17 @@
     pub answered: bool,
 }
 
-/// One call for it.
+/// One call of an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     pub operation: OperationId,
     pub process: Process,
     pub ticket: Ticket,
-    pub ended: bool,
+    pub completed: bool,
 }
 
 impl World {
-    /// Adds an operation that is first asked for at `at_ms` at each of these entries.
+    /// Adds an operation with its first calls at `at_ms`, one to each entry.
     pub fn operation(&mut self, at_ms: u64, entries: &[usize], plan: Plan) -> OperationId {
         let id = OperationId::new(self.operations.len() as u64 + 1);
         let key = (plan.key == KeySource::Own).then(|| format!("own-{id}"));
@@ -39,7 +39,7 @@
             self.schedule_at(before, Event::GetKey { operation: id, entry });
         }
         for entry in entries {
-            self.schedule_at(at_ms, Event::Ask { operation: id, entry: *entry });
+            self.schedule_at(at_ms, Event::SendCall { operation: id, entry: *entry });
         }
         let retries_left = plan.retries;
         self.operations.insert(id, Operation { plan, key, retries_left, answered: false });
@@ -59,8 +59,8 @@
         }
     }
 
-    /// A caller asks at the first entry from this one on that lets it connect.
-    pub fn ask(&mut self, id: OperationId, entry: usize) {
+    /// Sends a call to the first reachable entry from this one on.
+    pub fn send_call(&mut self, id: OperationId, entry: usize) {
         let Some(operation) = self.operations.get(&id).cloned() else { return };
         let is_guarded = operation.plan.key != KeySource::None;
         if operation.answered || (is_guarded && operation.key.is_none()) {
@@ -99,8 +99,8 @@
         };
         let boot = self.entries[entry].as_ref().map(|fake| fake.boot).unwrap_or_default();
         let process = Process { entry, boot };
-        self.calls.insert(call, Call { operation: id, process, ticket, ended: false });
-        self.schedule(plan.patience_ms, Event::Patience(call));
+        self.calls.insert(call, Call { operation: id, process, ticket, completed: false });
+        self.schedule(plan.caller_timeout_ms, Event::CallerTimeout(call));
     }
 
     pub fn operation_of(&self, head: &RequestHead) -> (OperationId, u32) {
@@ -110,10 +110,10 @@
         (id, pieces)
     }
 
-    /// A caller gets its final answer.
-    pub fn tell_caller(&mut self, id: CallId, outcome: Outcome) {
+    /// Delivers a final answer to a caller.
+    pub fn deliver_answer(&mut self, id: CallId, outcome: Outcome) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.ended = true;
+        call.completed = true;
         let (operation, entry) = (call.operation, call.process.entry);
         let (verdict, answer) = match outcome {
             Outcome::Answered(answer) => (Verdict::Answered, Some(answer)),
@@ -134,10 +134,10 @@
         }
     }
 
-    /// A caller sees its connection break.
+    /// Records that a caller's connection failed.
     pub fn cut_off(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if std::mem::replace(&mut call.ended, true) {
+        if std::mem::replace(&mut call.completed, true) {
             return;
         }
         let (operation, entry) = (call.operation, call.process.entry);
@@ -146,37 +146,39 @@
         self.retry(operation, entry, Verdict::MayHaveRun);
     }
 
-    /// A caller has waited long enough and closes its connection.
-    pub fn lose_patience(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(&id).copied().filter(|call| !call.ended) else { return };
+    /// Closes a caller's connection after its timeout.
+    pub fn time_out_caller(&mut self, id: CallId) {
+        let Some(call) = self.calls.get(&id).copied().filter(|call| !call.completed) else {
+            return;
+        };
         self.cut_off(id);
-        self.caller_gone(call.process, call.ticket);
+        self.caller_disconnected(call.process, call.ticket);
     }
 
-    fn caller_gone(&mut self, process: Process, ticket: Ticket) {
-        let Some(held) = self.held(process, ticket) else { return };
-        held.origin = Origin::Gone;
+    fn caller_disconnected(&mut self, process: Process, ticket: Ticket) {
+        let Some(state) = self.request_state(process, ticket) else { return };
+        state.origin = Origin::Disconnected;
         self.schedule(0, Event::ToEntry(process, EntryEvent::CallerGone { ticket }));
         let passed = self.entries.iter().enumerate().find_map(|(entry, fake)| {
             let fake = fake.as_ref()?;
             let origin = Origin::Peer(process, ticket);
-            let (ticket, _) = fake.tickets.iter().find(|(_, held)| held.origin == origin)?;
+            let (ticket, _) = fake.tickets.iter().find(|(_, state)| state.origin == origin)?;
             Some((Process { entry, boot: fake.boot }, *ticket))
         });
         if let Some((process, ticket)) = passed {
-            self.caller_gone(process, ticket);
+            self.caller_disconnected(process, ticket);
         }
     }
 
-    /// Without a key, nothing ties a second call to the first: it is a request of its own.
-    fn ask_anew(&mut self, id: OperationId) -> OperationId {
+    /// Creates a separate operation for a retry without a key, because nothing links the two calls.
+    fn copy_operation(&mut self, id: OperationId) -> OperationId {
         let new = OperationId::new(self.operations.len() as u64 + 1);
         let operation = self.operations.get(&id).cloned();
         self.operations.extend(operation.map(|operation| (new, operation)));
         new
     }
 
-    /// Asks again at the next entry, if that is safe by what the caller was told.
+    /// Retries at the next entry if the verdict permits it.
     fn retry(&mut self, id: OperationId, entry: usize, verdict: Verdict) {
         let delay_ms = self.rng.random_range(5..400);
         let Some(operation) = self.operations.get_mut(&id) else { return };
@@ -187,9 +189,9 @@
             operation.retries_left -= 1;
             let operation = match &operation.key {
                 Some(_) => id,
-                None => self.ask_anew(id),
+                None => self.copy_operation(id),
             };
-            self.schedule(delay_ms, Event::Ask { operation, entry: entry + 1 });
+            self.schedule(delay_ms, Event::SendCall { operation, entry: entry + 1 });
         }
     }
 }
--- a/crates/node/tests/common/driver.rs
+++ b/crates/node/tests/common/driver.rs
@@ -10,34 +10,34 @@
 use super::policy::TestPolicy;
 use super::world::World;
 
-/// How long the driver may take from a decision to the first byte.
+/// Maximum delay from a decision to the first byte.
 const DRIVER_DELAY_MS: u64 = 6;
-/// How long opening a connection to a dead machine takes.
+/// Timeout for connecting to a dead machine.
 const CONNECT_TIMEOUT_MS: u64 = 100;
 
-/// How long the VM list takes to answer.
+/// Response time of the VM list.
 const VM_LIST_MS: u64 = 30;
 
-/// Who waits for the answer of a ticket.
+/// The receiver of a ticket's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Origin {
     Call(CallId),
     Peer(Process, Ticket),
-    Gone,
+    Disconnected,
 }
 
-/// Where the driver stands with an attempt.
+/// State of an attempt in the driver.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sending {
+pub enum SendState {
     Pending,
     Cancelled,
     Sent,
-    Ended,
+    Completed,
 }
 
-/// What the driver holds of a request.
+/// Driver state of a request.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct RequestState {
     pub origin: Origin,
     pub operation: OperationId,
     pub pieces: u32,
@@ -45,25 +45,25 @@
     pub key: Option<String>,
     pub deadline_at: u64,
     pub delivered: Vec<Piece>,
-    pub attempt: Option<(Attempt, Sending)>,
+    pub attempt: Option<(Attempt, SendState)>,
     pub finished: bool,
 }
 
-/// One process of an entry: its node and its driver.
+/// An entry process: its node and its driver.
 pub struct FakeProcess {
     pub node: EntryNode<TestPolicy>,
     pub boot: celeryhaven_types::Boot,
     pub paused_until: u64,
-    pub held_back: Vec<Event>,
+    pub deferred: Vec<Event>,
     pub next_ticket: u64,
-    pub tickets: BTreeMap<Ticket, Held>,
-    pub kept: BTreeMap<Ticket, Answer>,
+    pub tickets: BTreeMap<Ticket, RequestState>,
+    pub cached: BTreeMap<Ticket, Answer>,
     pub has_left: bool,
 }
 
 impl World {
-    /// Carries out what a node wants done.
-    pub fn act(&mut self, process: Process, action: EntryAction) {
+    /// Executes an action of a node.
+    pub fn execute_action(&mut self, process: Process, action: EntryAction) {
         match action {
             EntryAction::Dispatch {
                 ticket,
@@ -74,19 +74,19 @@
                 resume_from,
             } => {
                 let delay_ms = self.rng.random_range(0..DRIVER_DELAY_MS);
-                let Some(held) = self.held(process, ticket) else { return };
-                held.attempt = Some((attempt, Sending::Pending));
+                let Some(state) = self.request_state(process, ticket) else { return };
+                state.attempt = Some((attempt, SendState::Pending));
                 let exchange = Exchange {
                     process,
                     ticket,
                     attempt,
-                    operation: held.operation,
-                    pieces: held.pieces,
+                    operation: state.operation,
+                    pieces: state.pieces,
                     address,
                     replica,
                     send_before,
                     resume_from,
-                    deadline_at: held.deadline_at,
+                    deadline_at: state.deadline_at,
                 };
                 self.schedule(delay_ms, Event::DriverSend(exchange));
             }
@@ -97,18 +97,18 @@
                 self.finish(process, ticket, Outcome::Refused(refusal));
             }
             EntryAction::Replay { ticket, of } => {
-                let kept = self.process(process).and_then(|held| held.kept.get(&of).cloned());
+                let cached = self.process(process).and_then(|state| state.cached.get(&of).cloned());
                 let lost = Refusal::may_have_run(RefusalCode::AnswerLost);
-                let outcome = kept.map_or(Outcome::Refused(lost), Outcome::Answered);
+                let outcome = cached.map_or(Outcome::Refused(lost), Outcome::Answered);
                 self.finish(process, ticket, outcome);
             }
             EntryAction::Forget { ticket } => {
-                if let Some(held) = self.process(process) {
-                    held.kept.remove(&ticket);
+                if let Some(state) = self.process(process) {
+                    state.cached.remove(&ticket);
                 }
             }
             EntryAction::PassOn { ticket, address, .. } => {
-                self.send_pass(process, ticket, address);
+                self.send_delegated(process, ticket, address);
             }
             EntryAction::Poll { vm, .. } => {
                 *self.polls.entry(vm.clone()).or_default() += 1;
@@ -123,8 +123,8 @@
                 self.send_peer(process, address, message);
             }
             EntryAction::Left => {
-                if let Some(held) = self.process(process) {
-                    held.has_left = true;
+                if let Some(state) = self.process(process) {
+                    state.has_left = true;
                 }
                 self.kill_entry(process.entry);
             }
@@ -132,55 +132,55 @@
     }
 
     fn cancel_attempt(&mut self, process: Process, ticket: Ticket, attempt: Attempt) {
-        // One cancel in five is lost between the driver's threads.
+        // One cancel in five is lost inside the driver.
         let is_silent = self.rng.random_range(0..5) == 0;
-        let Some(held) = self.held(process, ticket) else { return };
-        let event = match held.attempt {
-            Some((current, Sending::Pending)) if current == attempt => AttemptEvent::Expired,
-            Some((current, Sending::Sent)) if current == attempt => AttemptEvent::Broken,
+        let Some(state) = self.request_state(process, ticket) else { return };
+        let event = match state.attempt {
+            Some((current, SendState::Pending)) if current == attempt => AttemptEvent::Expired,
+            Some((current, SendState::Sent)) if current == attempt => AttemptEvent::Broken,
             _ => return,
         };
-        held.attempt = Some((attempt, Sending::Cancelled));
+        state.attempt = Some((attempt, SendState::Cancelled));
         if !is_silent {
-            self.tell(process, ticket, attempt, event);
+            self.report_attempt(process, ticket, attempt, event);
         }
     }
 
-    /// The driver is about to write the first byte of a request.
+    /// Writes the first byte of a request.
     pub fn driver_send(&mut self, exchange: &Exchange) {
         let Exchange { process, ticket, attempt, .. } = *exchange;
         let now = TimeMs::new(self.now);
         let vm = self.vm_at(exchange.address);
         let target = vm.filter(|vm| self.answers(vm) && !self.is_cut(process.entry, vm));
-        let Some(held) = self.held(process, ticket) else { return };
-        if held.attempt != Some((attempt, Sending::Pending)) {
+        let Some(state) = self.request_state(process, ticket) else { return };
+        if state.attempt != Some((attempt, SendState::Pending)) {
             return;
         }
         if now > exchange.send_before {
-            held.attempt = Some((attempt, Sending::Ended));
-            return self.tell(process, ticket, attempt, AttemptEvent::Expired);
+            state.attempt = Some((attempt, SendState::Completed));
+            return self.report_attempt(process, ticket, attempt, AttemptEvent::Expired);
         }
         let Some(vm) = target else {
-            held.attempt = Some((attempt, Sending::Ended));
+            state.attempt = Some((attempt, SendState::Completed));
             self.connect_failures += 1;
             let event = AttemptEvent::ConnectFailed;
             let event = EntryEvent::Attempt { ticket, attempt, event };
             return self.schedule(CONNECT_TIMEOUT_MS, Event::ToEntry(process, event));
         };
-        held.attempt = Some((attempt, Sending::Sent));
+        state.attempt = Some((attempt, SendState::Sent));
         let replica = exchange.replica.clone();
         self.sends.push((self.now, vm.clone()));
         self.checks.observe(Observation::Sent { at: now, vm, replica });
-        self.tell(process, ticket, attempt, AttemptEvent::Sent);
+        self.report_attempt(process, ticket, attempt, AttemptEvent::Sent);
         self.schedule(1, Event::ReachTarget(exchange.clone()));
         let left_ms = exchange.deadline_at.saturating_sub(self.now) + 100;
         self.schedule(left_ms, Event::ReadTimeout(process, ticket, attempt));
     }
 
-    /// Something came back from a target.
+    /// Processes a response step of a target.
     pub fn target_step(&mut self, process: Process, ticket: Ticket, attempt: Attempt, step: Step) {
-        let Some(held) = self.held(process, ticket) else { return };
-        if held.attempt != Some((attempt, Sending::Sent)) {
+        let Some(state) = self.request_state(process, ticket) else { return };
+        if state.attempt != Some((attempt, SendState::Sent)) {
             return self.late_step(process, ticket, attempt, &step);
         }
         let event = match step {
@@ -188,26 +188,26 @@
             Step::Reset => AttemptEvent::Broken,
             Step::Head => AttemptEvent::Started,
             Step::Piece(piece) => {
-                held.delivered.push(piece);
+                state.delivered.push(piece);
                 AttemptEvent::Progress { tokens: 1 }
             }
             Step::End => AttemptEvent::Finished,
         };
         if matches!(event, AttemptEvent::Refused | AttemptEvent::Broken | AttemptEvent::Finished) {
-            held.attempt = Some((attempt, Sending::Ended));
+            state.attempt = Some((attempt, SendState::Completed));
         }
         if event == AttemptEvent::Finished {
-            let answer = Answer { pieces: held.delivered.clone() };
-            let is_keyed = held.key.is_some();
+            let answer = Answer { pieces: state.delivered.clone() };
+            let is_keyed = state.key.is_some();
             if is_keyed && let Some(fake) = self.process(process) {
-                fake.kept.insert(ticket, answer.clone());
+                fake.cached.insert(ticket, answer.clone());
             }
             self.finish(process, ticket, Outcome::Answered(answer));
         }
-        self.tell(process, ticket, attempt, event);
+        self.report_attempt(process, ticket, attempt, event);
     }
 
-    /// What comes after an attempt has ended is not given to the caller, but the node may hear of it.
+    /// Reports a step of a completed attempt to the node, but not to the caller.
     fn late_step(&mut self, process: Process, ticket: Ticket, attempt: Attempt, step: &Step) {
         let event = match step {
             Step::Refused => AttemptEvent::Refused,
@@ -217,38 +217,44 @@
             Step::Reset => AttemptEvent::Broken,
         };
         let is_current = self
-            .held(process, ticket)
-            .and_then(|held| held.attempt)
+            .request_state(process, ticket)
+            .and_then(|state| state.attempt)
             .is_some_and(|(current, _)| current == attempt);
         if !is_current {
-            self.tell(process, ticket, attempt, event);
+            self.report_attempt(process, ticket, attempt, event);
         }
     }
 
-    /// The driver has read nothing until after the deadline.
+    /// Fails an attempt that is still running after its deadline.
     pub fn read_timeout(&mut self, process: Process, ticket: Ticket, attempt: Attempt) {
         self.target_step(process, ticket, attempt, Step::Reset);
     }
 
-    /// Gives whoever waits for a ticket its one final answer.
+    /// Delivers the final answer of a ticket to its receiver.
     pub fn finish(&mut self, process: Process, ticket: Ticket, outcome: Outcome) {
-        let Some(held) = self.held(process, ticket) else { return };
-        if std::mem::replace(&mut held.finished, true) {
+        let Some(state) = self.request_state(process, ticket) else { return };
+        if std::mem::replace(&mut state.finished, true) {
             return;
         }
-        match held.origin {
-            Origin::Call(call) => self.tell_caller(call, outcome),
+        match state.origin {
+            Origin::Call(call) => self.deliver_answer(call, outcome),
             Origin::Peer(to, ticket) => {
                 let is_cut = self.are_entries_cut(process.entry, to.entry);
                 let outcome = Some(outcome).filter(|_| !is_cut);
                 let delay_ms = if is_cut { 500 } else { 1 };
-                self.schedule(delay_ms, Event::PassReturn { to, ticket, outcome });
+                self.schedule(delay_ms, Event::DelegatedCompletes { to, ticket, outcome });
             }
-            Origin::Gone => {}
+            Origin::Disconnected => {}
         }
     }
 
-    fn tell(&mut self, process: Process, ticket: Ticket, attempt: Attempt, event: AttemptEvent) {
+    fn report_attempt(
+        &mut self,
+        process: Process,
+        ticket: Ticket,
+        attempt: Attempt,
+        event: AttemptEvent,
+    ) {
         let event = EntryEvent::Attempt { ticket, attempt, event };
         self.schedule(0, Event::ToEntry(process, event));
     }
--- a/crates/node/tests/common/entries.rs
+++ b/crates/node/tests/common/entries.rs
@@ -8,7 +8,7 @@
 use celeryhaven_types::{Boot, DataCentreName, Incarnation, NodeName, RequestHead, TimeMs};
 use rand::Rng;
 
-use super::driver::{FakeProcess, Held, Origin};
+use super::driver::{FakeProcess, Origin, RequestState};
 use super::events::{Event, Outcome, Process};
 use super::policy::TestPolicy;
 use super::setup::{DATA_CENTRE, entry_address, peer_address};
@@ -18,7 +18,7 @@
 const STORE_TIMEOUT_MS: u64 = 300;
 
 impl World {
-    /// Starts a process on an entry VM, with another boot than any before.
+    /// Starts a process with a new boot on an entry VM.
     pub fn start_entry(&mut self, entry: usize) {
         self.last_boot += 1;
         let boot = Boot::new(self.last_boot);
@@ -35,43 +35,43 @@
         let settings =
             EntrySettings::new(incarnation, place, entry_address(entry), peer_address(entry))
                 .with_peers(peers);
-        let policy = TestPolicy::new(self.habits, boot.get());
+        let policy = TestPolicy::new(self.behaviour, boot.get());
         let mut seed = [0; 32];
         self.rng.fill(&mut seed);
         self.entries[entry] = Some(FakeProcess {
             node: EntryNode::new(settings, policy, seed),
             boot,
             paused_until: 0,
-            held_back: Vec::new(),
+            deferred: Vec::new(),
             next_ticket: 1,
             tickets: std::collections::BTreeMap::new(),
-            kept: std::collections::BTreeMap::new(),
+            cached: std::collections::BTreeMap::new(),
             has_left: false,
         });
         self.schedule(0, Event::Wake(Process { entry, boot }));
     }
 
-    /// Ends a process; callers and peers see their connections break.
+    /// Kills a process; connections of its callers and peers fail.
     pub fn kill_entry(&mut self, entry: usize) {
         let Some(dead) = self.entries[entry].take() else { return };
-        for held in dead.tickets.into_values().filter(|held| !held.finished) {
-            match held.origin {
+        for state in dead.tickets.into_values().filter(|state| !state.finished) {
+            match state.origin {
                 Origin::Call(call) => self.cut_off(call),
                 Origin::Peer(to, ticket) => {
-                    let lost = Event::PassReturn { to, ticket, outcome: None };
+                    let lost = Event::DelegatedCompletes { to, ticket, outcome: None };
                     self.schedule(1, lost);
                 }
-                Origin::Gone => {}
+                Origin::Disconnected => {}
             }
         }
     }
 
-    /// Whether a process of this entry runs.
+    /// Whether a process of this entry is running.
     pub fn is_running(&self, entry: usize) -> bool {
         self.entries[entry].is_some()
     }
 
-    /// The entries that this one tells callers to use.
+    /// Returns the addresses that this entry returns to callers.
     pub fn addresses_from(&mut self, entry: usize) -> Vec<SocketAddr> {
         let fake = self.entries[entry].as_mut();
         fake.map(|fake| fake.node.addresses(None).addresses).unwrap_or_default()
@@ -82,11 +82,11 @@
         fake.filter(|fake| fake.boot == process.boot)
     }
 
-    pub fn held(&mut self, process: Process, ticket: Ticket) -> Option<&mut Held> {
+    pub fn request_state(&mut self, process: Process, ticket: Ticket) -> Option<&mut RequestState> {
         self.process(process)?.tickets.get_mut(&ticket)
     }
 
-    /// Gives a node an event and carries out what it wants done.
+    /// Passes an event to a node and executes its actions.
     pub fn deliver(&mut self, process: Process, event: EntryEvent) {
         let now = TimeMs::new(self.now);
         let Some(fake) = self.process(process) else { return };
@@ -94,7 +94,7 @@
         fake.node.handle(now, event, &mut out);
         let wake = fake.node.next_wake();
         for action in out {
-            self.act(process, action);
+            self.execute_action(process, action);
         }
         if let Some(wake) = wake {
             let delay_ms = wake.get().saturating_sub(self.now).max(1);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A request arrives at an entry from a caller or from a peer.
+    /// Passes a request from a caller or a peer to an entry.
     pub fn arrive(
         &mut self,
         entry: usize,
@@ -116,7 +116,7 @@
         let process = Process { entry, boot: fake.boot };
         let ticket = Ticket::new(fake.next_ticket);
         fake.next_ticket += 1;
-        let held = Held {
+        let state = RequestState {
             origin,
             operation,
             pieces,
@@ -127,7 +127,7 @@
             attempt: None,
             finished: false,
         };
-        fake.tickets.insert(ticket, held);
+        fake.tickets.insert(ticket, state);
         let key = key.map_or(KeyUse::None, KeyUse::Presented);
         let passed_on = matches!(origin, Origin::Peer(..));
         let event = EntryEvent::Arrived { ticket, head, key, passed_on };
@@ -135,24 +135,24 @@
         Some(ticket)
     }
 
-    /// Sends a request on to another entry.
-    pub fn send_pass(&mut self, from: Process, ticket: Ticket, address: SocketAddr) {
+    /// Delegates a request to another entry.
+    pub fn send_delegated(&mut self, from: Process, ticket: Ticket, address: SocketAddr) {
         let to = (0..self.entries.len()).find(|entry| peer_address(*entry) == address);
         let now = self.now;
-        let Some(held) = self.held(from, ticket) else { return };
-        let mut head = held.head.clone();
-        head.deadline_in_ms = held.deadline_at.saturating_sub(now);
-        let key = held.key.clone().unwrap_or_default();
+        let Some(state) = self.request_state(from, ticket) else { return };
+        let mut head = state.head.clone();
+        head.deadline_in_ms = state.deadline_at.saturating_sub(now);
+        let key = state.key.clone().unwrap_or_default();
         match to.filter(|to| !self.are_entries_cut(from.entry, *to)) {
-            Some(to) => self.schedule(1, Event::PassArrive { from, ticket, to, head, key }),
+            Some(to) => self.schedule(1, Event::DelegatedArrives { from, ticket, to, head, key }),
             None => {
-                let lost = Event::PassReturn { to: from, ticket, outcome: None };
+                let lost = Event::DelegatedCompletes { to: from, ticket, outcome: None };
                 self.schedule(200, lost);
             }
         }
     }
 
-    /// Sends a message to another entry: one in a hundred is lost, three are late.
+    /// Sends a message to another entry: 1 % are lost, 3 % are late.
     pub fn send_peer(&mut self, from: Process, address: SocketAddr, message: PeerMessage) {
         self.peer_messages += 1;
         let to = (0..self.entries.len()).find(|entry| peer_address(*entry) == address);
@@ -171,7 +171,7 @@
         self.schedule(delay_ms, Event::ToEntry(process, event));
     }
 
-    pub fn pass_arrive(
+    pub fn delegated_arrives(
         &mut self,
         from: Process,
         ticket: Ticket,
@@ -180,14 +180,14 @@
         key: String,
     ) {
         if self.arrive(to, Origin::Peer(from, ticket), head, Some(key)).is_none() {
-            let lost = Event::PassReturn { to: from, ticket, outcome: None };
+            let lost = Event::DelegatedCompletes { to: from, ticket, outcome: None };
             self.schedule(100, lost);
         }
     }
 
-    pub fn pass_return(&mut self, to: Process, ticket: Ticket, outcome: Option<Outcome>) {
-        let Some(held) = self.held(to, ticket) else { return };
-        if held.finished {
+    pub fn delegated_completes(&mut self, to: Process, ticket: Ticket, outcome: Option<Outcome>) {
+        let Some(state) = self.request_state(to, ticket) else { return };
+        if state.finished {
             return;
         }
         let answered = outcome.is_some();
@@ -197,7 +197,7 @@
         self.schedule(0, Event::ToEntry(to, EntryEvent::PassedOn { ticket, answered }));
     }
 
-    /// Sends a call to the Object API; in an outage one in three is carried out after all, late.
+    /// Sends a call to the Object API; during an outage one write in three is still executed, late.
     pub fn send_store(&mut self, process: Process, call: StoreCallId, request: StoreRequest) {
         let is_down = self.store.down_until > self.now;
         let is_lost = self.rng.random_range(0..1_000) < self.store_answers_lost;
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Now and then, a list as it was some writes ago.
+    /// Returns an outdated list at the configured rate.
     fn stale_list(&mut self, request: &StoreRequest) -> Option<StoreReply> {
         let StoreRequest::List { prefix } = request else { return None };
         let is_stale = self.rng.random_range(0..1_000) < self.stale_lists;
@@ -244,13 +244,13 @@
         is_stale.then(|| self.store.list_at(prefix, ObjectVersion::new(version)))
     }
 
-    /// The configuration in force at an entry, with the start of its process.
+    /// Returns the boot of an entry and the number of its configuration in force.
     pub fn config_number(&self, entry: usize) -> Option<(Boot, u64)> {
         let fake = self.entries[entry].as_ref()?;
         Some((fake.boot, fake.node.config_number()?.get()))
     }
 
-    /// The generation of a replica that an entry knows, with the start of its process.
+    /// Returns the boot of an entry and the generation of a replica at this entry.
     pub fn generation(&self, entry: usize, replica: &str) -> Option<(Boot, u64)> {
         let fake = self.entries[entry].as_ref()?;
         let replicas = fake.node.status(TimeMs::new(self.now)).replicas;
@@ -258,17 +258,17 @@
         Some((fake.boot, known.generation.get()))
     }
 
-    /// A watch has waited in vain.
+    /// Completes a watch that has timed out.
     pub fn watch_end(&mut self, process: Process, call: StoreCallId) {
         if self.store.take_waiter(process, call).is_some() {
-            let reply = self.store.nothing();
+            let reply = self.store.no_changes();
             self.schedule(1, Event::StoreReply { process, call, reply });
         }
     }
 
-    /// Answers the watches that a write has ended.
+    /// Answers the watches that a write completed.
     pub fn wake_watches(&mut self) {
-        for (waiter, reply) in self.store.take_woken() {
+        for (waiter, reply) in self.store.take_completed() {
             let Waiter { process, call, .. } = waiter;
             self.schedule(1, Event::StoreReply { process, call, reply });
         }
--- a/crates/node/tests/common/events.rs
+++ b/crates/node/tests/common/events.rs
@@ -7,21 +7,21 @@
 use celeryhaven_types::store::{StoreCallId, StoreReply, StoreRequest};
 use celeryhaven_types::{Boot, Generation, Refusal, ReplicaName, RequestHead, TimeMs, VmName};
 
-/// A process of an entry: index of its VM and which start.
+/// A process of an entry: index of its VM, and boot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Process {
     pub entry: usize,
     pub boot: Boot,
 }
 
-/// How a request ended for whoever sent it to an entry.
+/// The final outcome of a request.
 #[derive(Clone, Debug)]
 pub enum Outcome {
     Answered(Answer),
     Refused(Refusal),
 }
 
-/// One attempt at a target, as the driver carries it out.
+/// An attempt at a target in the driver.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     pub process: Process,
@@ -36,10 +36,10 @@
     pub deadline_at: u64,
 }
 
-/// The machines that run a request, and which start of their engines.
-pub type Makers = Arc<[(VmName, Boot)]>;
+/// The VMs that run a request, with the boots of their engines.
+pub type RunningVms = Arc<[(VmName, Boot)]>;
 
-/// What comes back from a target.
+/// A step of a target's response.
 #[derive(Clone, Debug)]
 pub enum Step {
     Refused,
@@ -49,7 +49,7 @@
     Reset,
 }
 
-/// Something that happens to the world.
+/// A fault or a change injected into the simulation.
 #[derive(Clone, Debug)]
 pub enum Fault {
     KillEntry(usize),
@@ -62,14 +62,14 @@
     SilenceVm { vm: &'static str, for_ms: u64 },
     RestartVm { vm: &'static str, claims_old: bool },
     SlowReports { vm: &'static str, by_ms: u64 },
-    LeaveVm { vm: &'static str, told_by_list: bool },
-    FormAnew { replica: &'static str },
+    LeaveVm { vm: &'static str, by_vm_list: bool },
+    ReformReplica { replica: &'static str },
     LeaveFormation { vm: &'static str },
     OldGeneration { vm: &'static str },
     StopEntry(usize),
 }
 
-/// What the event queue holds.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub enum Event {
     Wake(Process),
@@ -77,13 +77,13 @@
     ToEntry(Process, EntryEvent),
     DriverSend(Exchange),
     ReachTarget(Exchange),
-    /// Comes from a target if the machines that make it still run as the same ones.
+    /// Delivered only if the VMs that run the request still have the same boots.
     FromTarget {
         process: Process,
         ticket: Ticket,
         attempt: Attempt,
         step: Step,
-        makers: Makers,
+        running_vms: RunningVms,
     },
     ReadTimeout(Process, Ticket, Attempt),
     StoreArrive {
@@ -103,23 +103,23 @@
     },
     Restored(VmName),
     PollArrive(Process, VmName),
-    PassArrive {
+    DelegatedArrives {
         from: Process,
         ticket: Ticket,
         to: usize,
         head: RequestHead,
         key: String,
     },
-    PassReturn {
+    DelegatedCompletes {
         to: Process,
         ticket: Ticket,
         outcome: Option<Outcome>,
     },
-    Ask {
+    SendCall {
         operation: OperationId,
         entry: usize,
     },
-    Patience(CallId),
+    CallerTimeout(CallId),
     GetKey {
         operation: OperationId,
         entry: usize,
--- a/crates/node/tests/common/faults.rs
+++ b/crates/node/tests/common/faults.rs
@@ -7,12 +7,12 @@
 use super::world::World;
 
 impl World {
-    /// Lets a fault happen at an instant.
+    /// Schedules a fault.
     pub fn fault(&mut self, at_ms: u64, fault: Fault) {
         self.schedule_at(at_ms, Event::Fault(fault));
     }
 
-    pub fn happen(&mut self, fault: Fault) {
+    pub fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::KillEntry(entry) => self.kill_entry(entry),
             Fault::StartEntry(entry) => {
@@ -51,8 +51,8 @@
                     vm.reports_late_ms = by_ms;
                 }
             }
-            Fault::LeaveVm { vm, told_by_list } => self.leave_vm(vm, told_by_list),
-            Fault::FormAnew { replica } => self.form_anew(replica),
+            Fault::LeaveVm { vm, by_vm_list } => self.leave_vm(vm, by_vm_list),
+            Fault::ReformReplica { replica } => self.reform_replica(replica),
             Fault::StopEntry(entry) => {
                 let boot = self.entries[entry].as_ref().map(|fake| fake.boot);
                 if let Some(boot) = boot {
@@ -88,15 +88,15 @@
         }
     }
 
-    fn leave_vm(&mut self, vm: &str, told_by_list: bool) {
+    fn leave_vm(&mut self, vm: &str, by_vm_list: bool) {
         let name = VmName::new(vm);
         let at = TimeMs::new(self.now);
         self.checks.observe(Observation::Leaving { at, vm: name.clone() });
-        if told_by_list {
+        if by_vm_list {
             if let Some(vm) = self.vms.get_mut(&name) {
                 vm.listed.phase = VmPhase::Leaving;
             }
-            self.note_vm_list();
+            self.record_vm_list();
         } else {
             self.config.drained_vms.push(name);
             self.config.number = self.config.number.next();
--- a/crates/node/tests/common/least_loaded.rs
+++ b/crates/node/tests/common/least_loaded.rs
@@ -5,107 +5,113 @@
 
 const ATTEMPTS_MAX: u32 = 4;
 
-struct Held {
+struct PolicyRequest {
     serves: RequestClass,
     idempotency: Idempotency,
     deadline_at: TimeMs,
-    /// When an attempt that has not started is given up.
+    /// When an attempt that has not started is cancelled.
     start_by: Option<TimeMs>,
     target: Option<TargetKey>,
     attempts: u32,
     cancelled: bool,
 }
 
-impl Held {
-    /// When it has to be looked at.
+impl PolicyRequest {
+    /// When its next timer is due.
     fn wake_at(&self) -> Option<TimeMs> {
         let first = self.start_by.map_or(self.deadline_at, |at| at.min(self.deadline_at));
         (!self.cancelled).then_some(first)
     }
 }
 
-/// What a policy does that the node has to stand against, or that other policies may do.
+/// Policy behaviour that the node must tolerate.
 #[derive(Clone, Copy, Default)]
-pub struct Habits {
-    /// The policy in use takes this one's place.
+pub struct PolicyBehaviour {
+    /// Uses the production policy instead.
     pub fair: bool,
-    /// Retries even what may have run and must not run again.
-    pub reckless: bool,
-    /// Refuses at the deadline without a cancel, as "not run".
-    pub blunt: bool,
+    /// Retries requests that may have run, even if they must not run again.
+    pub retries_all: bool,
+    /// Refuses at the deadline as "not run", without a cancel.
+    pub refuses_without_cancel: bool,
     /// Cancels an attempt that has not started by then, and tries another target.
     pub first_byte_ms: Option<u64>,
 }
 
-/// The smallest policy: first come, first served, at the target with the fewest own requests.
+/// A minimal policy: first come, first served, to the target with the fewest own requests.
 #[derive(Default)]
 pub struct LeastLoaded {
-    habits: Habits,
+    behaviour: PolicyBehaviour,
     targets: BTreeMap<TargetKey, TargetProfile>,
     running: BTreeMap<TargetKey, u32>,
-    /// When each target was used last, in dispatches.
+    /// Sequence number of the last dispatch to each target.
     used: BTreeMap<TargetKey, u64>,
     dispatches: u64,
     waiting: VecDeque<Ticket>,
-    held: BTreeMap<Ticket, Held>,
+    requests: BTreeMap<Ticket, PolicyRequest>,
 }
 
 impl LeastLoaded {
-    /// A policy with these habits.
-    pub fn new(habits: Habits) -> Self {
-        Self { habits, ..Self::default() }
+    /// Creates a policy with this behaviour.
+    pub fn new(behaviour: PolicyBehaviour) -> Self {
+        Self { behaviour, ..Self::default() }
     }
 
-    fn pump(&mut self, now: TimeMs, out: &mut Vec<Decision>) {
-        let mut left = VecDeque::new();
+    fn dispatch_queued(&mut self, now: TimeMs, out: &mut Vec<Decision>) {
+        let mut queued = VecDeque::new();
         while let Some(ticket) = self.waiting.pop_front() {
-            let Some(held) = self.held.get_mut(&ticket) else { continue };
+            let Some(request) = self.requests.get_mut(&ticket) else { continue };
             let running = |key: &TargetKey| self.running.get(key).copied().unwrap_or(0);
             let serving = self.targets.iter().filter(|(key, profile)| {
-                profile.serves == held.serves && running(key) < profile.slots
+                profile.serves == request.serves && running(key) < profile.slots
             });
             let used = |key: &TargetKey| self.used.get(key).copied().unwrap_or(0);
             match serving.map(|(key, _)| *key).min_by_key(|key| (running(key), used(key), *key)) {
                 Some(target) => {
-                    held.target = Some(target);
-                    held.attempts += 1;
-                    held.cancelled = false;
-                    held.start_by = self.habits.first_byte_ms.map(|ms| now.after(ms));
+                    request.target = Some(target);
+                    request.attempts += 1;
+                    request.cancelled = false;
+                    request.start_by = self.behaviour.first_byte_ms.map(|ms| now.after(ms));
                     self.dispatches += 1;
                     self.used.insert(target, self.dispatches);
                     *self.running.entry(target).or_default() += 1;
                     out.push(Decision::Dispatch { ticket, target });
                 }
-                None => left.push_back(ticket),
+                None => queued.push_back(ticket),
             }
         }
-        self.waiting = left;
+        self.waiting = queued;
     }
 
-    fn leave_target(&mut self, ticket: Ticket) {
-        let target = self.held.get_mut(&ticket).and_then(|held| held.target.take());
+    fn release_target(&mut self, ticket: Ticket) {
+        let target = self.requests.get_mut(&ticket).and_then(|request| request.target.take());
         if let Some(running) = target.and_then(|target| self.running.get_mut(&target)) {
             *running = running.saturating_sub(1);
         }
     }
 
-    fn end(&mut self, ticket: Ticket) {
-        self.leave_target(ticket);
-        self.held.remove(&ticket);
+    fn complete(&mut self, ticket: Ticket) {
+        self.release_target(ticket);
+        self.requests.remove(&ticket);
         self.waiting.retain(|waiting| *waiting != ticket);
     }
 
     fn refuse(&mut self, ticket: Ticket, code: RefusalCode, out: &mut Vec<Decision>) {
-        self.end(ticket);
+        self.complete(ticket);
         out.push(Decision::Refuse { ticket, refusal: Refusal::not_run(code) });
     }
 
-    fn broken(&mut self, now: TimeMs, ticket: Ticket, verdict: Verdict, out: &mut Vec<Decision>) {
-        self.leave_target(ticket);
-        let Some(held) = self.held.get(&ticket) else { return };
-        let is_idempotent = held.idempotency == Idempotency::Idempotent;
-        let may_retry = verdict == Verdict::NotRun || is_idempotent || self.habits.reckless;
-        if may_retry && held.attempts < ATTEMPTS_MAX && held.deadline_at > now {
+    fn attempt_failed(
+        &mut self,
+        now: TimeMs,
+        ticket: Ticket,
+        verdict: Verdict,
+        out: &mut Vec<Decision>,
+    ) {
+        self.release_target(ticket);
+        let Some(request) = self.requests.get(&ticket) else { return };
+        let is_idempotent = request.idempotency == Idempotency::Idempotent;
+        let may_retry = verdict == Verdict::NotRun || is_idempotent || self.behaviour.retries_all;
+        if may_retry && request.attempts < ATTEMPTS_MAX && request.deadline_at > now {
             self.waiting.push_back(ticket);
         } else {
             self.refuse(ticket, RefusalCode::AnswerLost, out);
@@ -113,15 +119,18 @@
     }
 
     fn tick(&mut self, now: TimeMs, out: &mut Vec<Decision>) {
-        let due = self.held.iter().filter(|(_, held)| held.wake_at().is_some_and(|at| at <= now));
+        let due = self
+            .requests
+            .iter()
+            .filter(|(_, request)| request.wake_at().is_some_and(|at| at <= now));
         let due: Vec<Ticket> = due.map(|(ticket, _)| *ticket).collect();
         for ticket in due {
-            match self.held.get_mut(&ticket).filter(|held| held.target.is_some()) {
-                Some(_) if self.habits.blunt => {
+            match self.requests.get_mut(&ticket).filter(|request| request.target.is_some()) {
+                Some(_) if self.behaviour.refuses_without_cancel => {
                     self.refuse(ticket, RefusalCode::DeadlineUnreachable, out);
                 }
-                Some(held) => {
-                    held.cancelled = true;
+                Some(request) => {
+                    request.cancelled = true;
                     out.push(Decision::Cancel { ticket });
                 }
                 None => self.refuse(ticket, RefusalCode::DeadlineUnreachable, out),
@@ -141,7 +150,7 @@
                     }
                     plain => plain.clone(),
                 };
-                let held = Held {
+                let request = PolicyRequest {
                     serves,
                     idempotency: head.idempotency,
                     deadline_at: now.after(head.deadline_in_ms),
@@ -150,20 +159,20 @@
                     attempts: 0,
                     cancelled: false,
                 };
-                self.held.insert(ticket, held);
+                self.requests.insert(ticket, request);
                 self.waiting.push_back(ticket);
             }
             PolicyEvent::Finished { ticket, .. } | PolicyEvent::CallerDisconnected { ticket } => {
-                self.end(ticket);
+                self.complete(ticket);
             }
             PolicyEvent::AttemptFailed { ticket, verdict } => {
-                self.broken(now, ticket, verdict, out);
+                self.attempt_failed(now, ticket, verdict, out);
             }
             PolicyEvent::TargetUp { target, profile } => drop(self.targets.insert(target, profile)),
             PolicyEvent::TargetDown { target } => drop(self.targets.remove(&target)),
             PolicyEvent::Started { ticket } => {
-                if let Some(held) = self.held.get_mut(&ticket) {
-                    held.start_by = None;
+                if let Some(request) = self.requests.get_mut(&ticket) {
+                    request.start_by = None;
                 }
             }
             PolicyEvent::Reported { .. }
@@ -171,10 +180,10 @@
             | PolicyEvent::Senders { .. }
             | PolicyEvent::Organisations { .. } => {}
         }
-        self.pump(now, out);
+        self.dispatch_queued(now, out);
     }
 
     fn next_wake(&self) -> Option<TimeMs> {
-        self.held.values().filter_map(Held::wake_at).min()
+        self.requests.values().filter_map(PolicyRequest::wake_at).min()
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Several entry nodes with fake targets, a fake Object API and callers, in virtual time.
+//! Simulation of entry nodes with targets, an Object API and callers, in virtual time.
 //!
-//! Everything that is random comes from one seed, so a run gives the same outcome each time. The
-//! checks see what callers were told and what targets ran, never a node's own state.
+//! All randomness derives from one seed, so runs are reproducible. The checks see what callers
+//! received and what targets ran, never a node's internal state.
 #![allow(dead_code, unused_imports, reason = "each test file uses a part of the harness")]
 
 mod callers;
@@ -18,7 +18,7 @@
 mod world;
 
 pub use events::Fault;
-pub use least_loaded::{Habits, LeastLoaded};
+pub use least_loaded::{LeastLoaded, PolicyBehaviour};
 pub use schedule::{Schedule, schedules};
 pub use setup::{KeySource, MODEL, Plan, TargetFaults, config};
 pub use world::World;
--- a/crates/node/tests/common/policy.rs
+++ b/crates/node/tests/common/policy.rs
@@ -1,22 +1,22 @@
 use celeryhaven_policy::{Decision, FairPolicy, FairSettings, PolicyEvent, RequestPolicy};
 use celeryhaven_types::TimeMs;
 
-use super::least_loaded::{Habits, LeastLoaded};
+use super::least_loaded::{LeastLoaded, PolicyBehaviour};
 
 /// The policy of an entry in a test.
 pub enum TestPolicy {
-    /// The smallest one, with its habits.
+    /// The minimal policy.
     Least(LeastLoaded),
-    /// The one in use.
+    /// The production policy.
     Fair(Box<FairPolicy>),
 }
 
 impl TestPolicy {
-    pub fn new(habits: Habits, seed: u64) -> Self {
-        if habits.fair {
+    pub fn new(behaviour: PolicyBehaviour, seed: u64) -> Self {
+        if behaviour.fair {
             Self::Fair(Box::new(FairPolicy::new(FairSettings::new(seed))))
         } else {
-            Self::Least(LeastLoaded::new(habits))
+            Self::Least(LeastLoaded::new(behaviour))
         }
     }
 }
--- a/crates/node/tests/common/schedule.rs
+++ b/crates/node/tests/common/schedule.rs
@@ -2,7 +2,7 @@
 
 use super::events::Fault;
 
-/// When faults happen, and how many at most.
+/// Time range and maximum number of faults.
 const FIRST_MS: u64 = 1_000;
 const LAST_MS: u64 = 6_000;
 const FAULTS_MAX: u64 = 7;
@@ -10,7 +10,7 @@
 const ENGINES: [&str; 4] = ["a", "b", "c", "d"];
 const PLAIN: [&str; 2] = ["p1", "p2"];
 
-/// Faults at instants, and the seed of everything else.
+/// A schedule of faults, and the seed of all other randomness.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
@@ -20,7 +20,7 @@
 impl Arbitrary for Schedule {
     fn arbitrary(g: &mut Gen) -> Self {
         let count = u64::arbitrary(g) % FAULTS_MAX + 1;
-        let mut faults: Vec<_> = (0..count).flat_map(|_| some_fault(g)).collect();
+        let mut faults: Vec<_> = (0..count).flat_map(|_| random_fault(g)).collect();
         faults.sort_by_key(|(at, _)| *at);
         Self { seed: u64::arbitrary(g), faults }
     }
@@ -35,8 +35,8 @@
     }
 }
 
-/// One fault, and what ends it if it does not end by itself.
-fn some_fault(g: &mut Gen) -> Vec<(u64, Fault)> {
+/// Returns a fault, and its repair if it does not end by itself.
+fn random_fault(g: &mut Gen) -> Vec<(u64, Fault)> {
     let at = FIRST_MS + u64::arbitrary(g) % (LAST_MS - FIRST_MS);
     let for_ms = 50 + u64::arbitrary(g) % 3_000;
     let mut entry = || usize::try_from(u64::arbitrary(g) % ENTRIES).unwrap_or_default();
@@ -45,7 +45,7 @@
     let engine = ENGINES[usize::try_from(pick % 4).unwrap_or_default()];
     let plain = PLAIN[usize::try_from(pick % 2).unwrap_or_default()];
     let replica = if pick % 4 < 2 { "r1" } else { "r2" };
-    let formed = (at + for_ms, Fault::FormAnew { replica });
+    let formed = (at + for_ms, Fault::ReformReplica { replica });
     match u64::arbitrary(g) % 11 {
         0 | 1 => vec![(at, Fault::KillEntry(one)), (at + for_ms, Fault::StartEntry(one))],
         2 => vec![(at, Fault::PauseEntry { entry: one, for_ms })],
@@ -60,7 +60,7 @@
     }
 }
 
-/// A runner of this many schedules, the same ones each time.
+/// Returns a runner of `count` reproducible schedules.
 pub fn schedules(count: u64, seed: u64) -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, seed)).tests(count).max_tests(count)
 }
--- a/crates/node/tests/common/setup.rs
+++ b/crates/node/tests/common/setup.rs
@@ -12,17 +12,17 @@
 pub const SERVICE: &str = "stock";
 pub const DATA_CENTRE: &str = "riga-1";
 
-/// Where the key of an operation comes from.
+/// The source of an operation's key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum KeySource {
     None,
     /// Issued by this entry shortly before the first call.
     Issued(usize),
-    /// Made up by the caller.
+    /// Chosen by the caller.
     Own,
 }
 
-/// One operation and how its caller goes about it.
+/// An operation and the behaviour of its caller.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub class: RequestClass,
@@ -30,14 +30,14 @@
     pub key: KeySource,
     pub pieces: u32,
     pub deadline_ms: u64,
-    /// How long the caller waits before it closes the connection.
-    pub patience_ms: u64,
-    /// Calls after the first one, each at the next entry.
+    /// Time until the caller closes the connection.
+    pub caller_timeout_ms: u64,
+    /// Number of retries, each at the next entry.
     pub retries: u32,
 }
 
 impl Plan {
-    /// A lot update: runs at most once.
+    /// Creates an update that must run at most once.
     pub fn update(key: KeySource) -> Self {
         Self {
             class: RequestClass::Plain { service: ServiceName::new(SERVICE) },
@@ -45,12 +45,12 @@
             key,
             pieces: 1,
             deadline_ms: 3_000,
-            patience_ms: 6_000,
+            caller_timeout_ms: 6_000,
             retries: 3,
         }
     }
 
-    /// A draft by a model: may run again and streams its tokens.
+    /// Creates a streamed completion that may run again.
     pub fn draft(pieces: u32) -> Self {
         Self {
             class: RequestClass::Completion { model: ModelName::new(MODEL), adapter: None },
@@ -58,13 +58,13 @@
             key: KeySource::None,
             pieces,
             deadline_ms: 5_000,
-            patience_ms: 8_000,
+            caller_timeout_ms: 8_000,
             retries: 2,
         }
     }
 }
 
-/// How often targets misbehave, in thousandths of the requests that reach them.
+/// Fault rates of targets, in thousandths of the requests received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetFaults {
     pub refuse: u32,
@@ -76,7 +76,7 @@
 }
 
 impl TargetFaults {
-    /// A little of everything.
+    /// Low rates of all faults.
     pub const fn mixed() -> Self {
         Self {
             refuse: 60,
--- a/crates/node/tests/common/store.rs
+++ b/crates/node/tests/common/store.rs
@@ -7,7 +7,7 @@
 
 use super::events::Process;
 
-/// A watch that waits for a change.
+/// A pending watch.
 #[derive(Clone, Debug)]
 pub struct Waiter {
     pub process: Process,
@@ -16,7 +16,7 @@
     pub from: ObjectVersion,
 }
 
-/// The Object API, with all its changes kept.
+/// An Object API that keeps its full history.
 #[derive(Default)]
 pub struct FakeStore {
     version: u64,
@@ -28,7 +28,7 @@
 }
 
 impl FakeStore {
-    /// Carries a call out; `None` if it is a watch that has to wait.
+    /// Executes a call; `None` if it is a watch without changes yet.
     pub fn apply(&mut self, request: &StoreRequest) -> Option<StoreReply> {
         Some(match request {
             StoreRequest::Get { key } => match self.objects.get(key) {
@@ -74,7 +74,7 @@
         })
     }
 
-    /// A list as it would have been answered at an earlier version.
+    /// Returns a list as of an earlier version.
     pub fn list_at(&self, prefix: &ObjectKey, version: ObjectVersion) -> StoreReply {
         let past = self.log.iter().filter(|change| change.version <= version);
         let mut objects = BTreeMap::new();
@@ -88,12 +88,12 @@
         StoreReply::Listed { version, objects: objects.collect() }
     }
 
-    /// The newest version.
+    /// Returns the latest version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Changes below a prefix; `None` if there are none yet.
+    /// Returns the changes below a prefix; `None` if there are none.
     pub fn changes(&self, prefix: &str, from: ObjectVersion) -> Option<StoreReply> {
         let after = self.log.iter().filter(|change| change.version > from);
         let below = after.filter(|change| change.key.as_str().starts_with(prefix));
@@ -102,25 +102,25 @@
         (!changes.is_empty()).then_some(StoreReply::Changes { version, changes })
     }
 
-    /// The answer to a watch that waited in vain.
-    pub fn nothing(&self) -> StoreReply {
+    /// Returns the reply to a watch that timed out.
+    pub fn no_changes(&self) -> StoreReply {
         StoreReply::Changes { version: ObjectVersion::new(self.version), changes: Vec::new() }
     }
 
-    /// Takes one waiting watch out.
+    /// Removes a pending watch.
     pub fn take_waiter(&mut self, process: Process, call: StoreCallId) -> Option<Waiter> {
         let mut waiters = self.waiters.iter();
         let at = waiters.position(|waiter| waiter.process == process && waiter.call == call)?;
         Some(self.waiters.remove(at))
     }
 
-    /// Writes an object without a condition, as a controller would.
+    /// Writes an object unconditionally.
     pub fn put(&mut self, key: &str, value: String) {
         self.write(&ObjectKey::new(key), Some(value.into()));
     }
 
-    /// Takes the waiting watches that a change has ended, with their answers.
-    pub fn take_woken(&mut self) -> Vec<(Waiter, StoreReply)> {
+    /// Removes the watches that a change completed, with their replies.
+    pub fn take_completed(&mut self) -> Vec<(Waiter, StoreReply)> {
         let waiters = std::mem::take(&mut self.waiters);
         let mut woken = Vec::new();
         for waiter in waiters {
--- a/crates/node/tests/common/vms.rs
+++ b/crates/node/tests/common/vms.rs
@@ -5,16 +5,16 @@
 use celeryhaven_types::{Boot, Fence, Formation, MemberReport, TimeMs, VmEntry, VmName};
 use rand::Rng;
 
-use super::events::{Event, Exchange, Makers, Process, Step};
+use super::events::{Event, Exchange, Process, RunningVms, Step};
 use super::world::World;
 
-/// How long the driver waits for a poll.
+/// Timeout of a poll.
 const POLL_TIMEOUT_MS: u64 = 400;
-/// How long a target takes before its first piece, and between pieces.
+/// Time until the first piece, and between pieces.
 const SERVICE_MS: u64 = 8;
 const SLOW_FACTOR: u64 = 150;
 
-/// One target VM.
+/// A target VM.
 pub struct FakeVm {
     pub address: SocketAddr,
     pub boot: Boot,
@@ -35,7 +35,7 @@
         self.vms.get(name).is_some_and(|vm| vm.alive && vm.silent_until <= self.now)
     }
 
-    /// Asks a member for its status.
+    /// Requests the status of a member.
     pub fn poll_arrive(&mut self, process: Process, name: &VmName) {
         let reachable = self.answers(name) && !self.is_cut(process.entry, name);
         let Some(vm) = self.vms.get(name) else { return };
@@ -61,7 +61,7 @@
         self.schedule(took_ms, Event::ToEntry(process, event));
     }
 
-    /// A request reaches a target.
+    /// Processes a request at a target.
     pub fn reach_target(&mut self, exchange: &Exchange) {
         let Some(name) = self.vm_at(exchange.address) else { return };
         if !self.answers(&name) || self.is_cut(exchange.process.entry, &name) {
@@ -104,7 +104,7 @@
     fn stream(&mut self, exchange: &Exchange, step_ms: u64, cut: bool) {
         let mut delay_ms = step_ms;
         self.step(delay_ms, exchange, Step::Head);
-        // A plain service knows nothing of resuming: it answers from the start each time.
+        // A plain service cannot resume: it answers from the start each time.
         let from = if exchange.replica.is_some() { exchange.resume_from } else { 0 };
         let left = exchange.pieces.saturating_sub(from);
         let until = if cut { from + left / 2 } else { exchange.pieces };
@@ -119,21 +119,22 @@
 
     fn step(&mut self, delay_ms: u64, exchange: &Exchange, step: Step) {
         let Exchange { process, ticket, attempt, .. } = *exchange;
-        let makers = self.makers(exchange);
-        self.schedule(delay_ms, Event::FromTarget { process, ticket, attempt, step, makers });
+        let running_vms = self.running_vms(exchange);
+        self.schedule(delay_ms, Event::FromTarget { process, ticket, attempt, step, running_vms });
     }
 
-    /// The machines that run a request: all members of a replica, or the one of a plain service.
-    fn makers(&self, exchange: &Exchange) -> Makers {
+    /// Returns the VMs that run a request: all members of a replica, or the VM of a plain service.
+    fn running_vms(&self, exchange: &Exchange) -> RunningVms {
         let front = self.vm_at(exchange.address);
         let members = exchange.replica.as_ref().map(|(replica, _)| self.members(replica));
         let vms = members.unwrap_or_else(|| front.into_iter().collect());
         vms.into_iter().filter_map(|vm| Some((vm.clone(), self.vms.get(&vm)?.boot))).collect()
     }
 
-    /// Whether machines still run as when they took a request; the loss of one kills the rest.
-    pub fn run_on(&self, makers: &Makers) -> bool {
-        let mut makers = makers.iter();
-        makers.all(|(name, boot)| self.vms.get(name).is_some_and(|vm| vm.alive && vm.boot == *boot))
+    /// Whether all these VMs still have the same boots; the loss of one ends the request on all.
+    pub fn are_running(&self, running_vms: &RunningVms) -> bool {
+        let mut running_vms = running_vms.iter();
+        running_vms
+            .all(|(name, boot)| self.vms.get(name).is_some_and(|vm| vm.alive && vm.boot == *boot))
     }
 }
--- a/crates/node/tests/common/world.rs
+++ b/crates/node/tests/common/world.rs
@@ -14,37 +14,37 @@
 use super::driver::FakeProcess;
 use super::entries::node_name;
 use super::events::{Event, Process, Step};
-use super::least_loaded::Habits;
+use super::least_loaded::PolicyBehaviour;
 use super::setup::{DATA_CENTRE, MODEL, TargetFaults, config, engine_address, entry_address};
 use super::store::FakeStore;
 use super::vms::FakeVm;
 
-/// How far the VM list lags.
+/// Delay of the VM list.
 const LIST_LAG_MS: u64 = 1_000;
 
-/// Everything that is not an entry node, and the queue of what happens next.
+/// The simulated environment of the entry nodes, and its event queue.
 pub struct World {
     pub now: u64,
     pub rng: SmallRng,
     pub checks: Checks,
     pub target_faults: TargetFaults,
-    /// How often an answer of the Object API is lost, in thousandths.
+    /// Rate of lost Object API answers, in thousandths.
     pub store_answers_lost: u32,
     pub list_lag_ms: u64,
-    /// How often an observer's answer takes up to a second, in thousandths.
+    /// Rate of observer answers delayed by up to a second, in thousandths.
     pub late_observations: u32,
-    /// How often a list is an old one, in thousandths.
+    /// Rate of outdated lists, in thousandths.
     pub stale_lists: u32,
-    pub(super) habits: Habits,
+    pub(super) behaviour: PolicyBehaviour,
     pub refusals: BTreeMap<String, u64>,
     pub store: FakeStore,
-    /// Polls that entries sent to each target.
+    /// Polls sent to each target.
     pub polls: BTreeMap<VmName, u64>,
-    /// Requests that found nobody at the target's address.
+    /// Requests that could not connect to their target.
     pub connect_failures: u64,
-    /// Messages that entries sent to each other.
+    /// Messages sent between entries.
     pub peer_messages: u64,
-    /// When requests left for which VM.
+    /// Times and destination VMs of sent requests.
     pub sends: Vec<(u64, VmName)>,
     pub(super) config: Config,
     pub(super) entries: Vec<Option<FakeProcess>>,
@@ -62,14 +62,19 @@
 }
 
 impl World {
-    /// A world of this many entries, with the replicas r1 (a, b) and r2 (c, d) and the service's
+    /// Creates a world with this many entries, the replicas r1 (a, b) and r2 (c, d), and the plain
     /// targets p1 and p2.
     pub fn new(seed: u64, entries: usize, bounds: Bounds) -> Self {
-        Self::with_habits(seed, entries, bounds, Habits::default())
+        Self::with_behaviour(seed, entries, bounds, PolicyBehaviour::default())
     }
 
-    /// The same, with a policy of these habits at every entry.
-    pub fn with_habits(seed: u64, entries: usize, bounds: Bounds, habits: Habits) -> Self {
+    /// Creates the same world with this policy behaviour at every entry.
+    pub fn with_behaviour(
+        seed: u64,
+        entries: usize,
+        bounds: Bounds,
+        behaviour: PolicyBehaviour,
+    ) -> Self {
         let plain = ["p1", "p2"].map(VmName::new);
         let plain: Vec<_> =
             plain.into_iter().enumerate().map(|(i, vm)| (vm, engine_address(10 + i))).collect();
@@ -83,7 +88,7 @@
             list_lag_ms: LIST_LAG_MS,
             late_observations: 0,
             stale_lists: 0,
-            habits,
+            behaviour,
             refusals: BTreeMap::new(),
             store: FakeStore::default(),
             polls: BTreeMap::new(),
@@ -121,7 +126,7 @@
         world.add_replica("r1", ["a", "b"]);
         world.add_replica("r2", ["c", "d"]);
         world.write_config();
-        world.note_vm_list();
+        world.record_vm_list();
         world.list_history[0].0 = 0;
         (0..entries).for_each(|entry| world.start_entry(entry));
         world
@@ -162,11 +167,11 @@
             phase: ReplicaPhase::Serving,
         };
         self.placement.replicas.push(replica);
-        self.form_anew(name);
+        self.reform_replica(name);
     }
 
-    /// Forms a replica anew of its members, as a controller would, and writes its placement.
-    pub(super) fn form_anew(&mut self, name: &str) {
+    /// Re-forms a replica from its members, and writes its placement.
+    pub(super) fn reform_replica(&mut self, name: &str) {
         let mut replicas = self.placement.replicas.iter_mut();
         let Some(replica) = replicas.find(|replica| replica.name.as_str() == name) else { return };
         replica.generation = replica.generation.next();
@@ -201,7 +206,7 @@
         replica.map(|replica| replica.vms.clone()).unwrap_or_default()
     }
 
-    /// Writes the next configuration, as a controller would for an operator.
+    /// Writes the next configuration.
     pub fn change_config(&mut self) {
         self.config.number = self.config.number.next();
         self.write_config();
@@ -213,8 +218,8 @@
         self.wake_watches();
     }
 
-    /// Notes that the VM list has changed; entries see it with a lag.
-    pub(super) fn note_vm_list(&mut self) {
+    /// Records a change of the VM list, which entries see with a delay.
+    pub(super) fn record_vm_list(&mut self) {
         let targets = self.vms.values().map(|vm| vm.listed.clone());
         let entries = (0..self.entries.len()).map(|entry| VmEntry {
             vm: VmName::new(node_name(entry).as_str()),
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Lets everything happen up to an instant.
+    /// Runs all events up to `end`.
     pub fn run_until(&mut self, end: u64) {
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= end) {
             let ((at, _), event) = entry.remove_entry();
@@ -272,7 +277,7 @@
         self.now = end;
     }
 
-    /// Runs an event, or holds it back while the process it is for is paused.
+    /// Runs an event, or defers it while its process is paused.
     fn dispatch(&mut self, event: Event) {
         let process = match &event {
             Event::Wake(process)
@@ -280,16 +285,16 @@
             | Event::FromTarget { process, .. }
             | Event::ReadTimeout(process, ..)
             | Event::StoreReply { process, .. }
-            | Event::PassReturn { to: process, .. } => Some(*process),
+            | Event::DelegatedCompletes { to: process, .. } => Some(*process),
             Event::DriverSend(exchange) => Some(exchange.process),
             _ => None,
         };
         let now = self.now;
         if let Some(process) = process {
             let Some(fake) = self.process(process) else { return };
-            // What came before the end of the pause is heard before what comes at its end.
-            if fake.paused_until > now || !fake.held_back.is_empty() {
-                return fake.held_back.push(event);
+            // Events deferred during the pause run before later ones.
+            if fake.paused_until > now || !fake.deferred.is_empty() {
+                return fake.deferred.push(event);
             }
         }
         self.run(event);
@@ -305,15 +310,15 @@
                 let now = self.now;
                 let Some(fake) = self.process(process) else { return };
                 if fake.paused_until <= now {
-                    let held_back = std::mem::take(&mut fake.held_back);
-                    held_back.into_iter().for_each(|event| self.run(event));
+                    let deferred = std::mem::take(&mut fake.deferred);
+                    deferred.into_iter().for_each(|event| self.run(event));
                 }
             }
             Event::ToEntry(process, event) => self.deliver(process, event),
             Event::DriverSend(exchange) => self.driver_send(&exchange),
             Event::ReachTarget(exchange) => self.reach_target(&exchange),
-            Event::FromTarget { process, ticket, attempt, step, makers } => {
-                let step = if self.run_on(&makers) { step } else { Step::Reset };
+            Event::FromTarget { process, ticket, attempt, step, running_vms } => {
+                let step = if self.are_running(&running_vms) { step } else { Step::Reset };
                 self.target_step(process, ticket, attempt, step);
             }
             Event::ReadTimeout(process, ticket, attempt) => {
@@ -328,14 +333,16 @@
             Event::WatchEnd { process, call } => self.watch_end(process, call),
             Event::Restored(vm) => self.checks.observe(Observation::Restored { vm }),
             Event::PollArrive(process, vm) => self.poll_arrive(process, &vm),
-            Event::PassArrive { from, ticket, to, head, key } => {
-                self.pass_arrive(from, ticket, to, head, key);
+            Event::DelegatedArrives { from, ticket, to, head, key } => {
+                self.delegated_arrives(from, ticket, to, head, key);
             }
-            Event::PassReturn { to, ticket, outcome } => self.pass_return(to, ticket, outcome),
-            Event::Ask { operation, entry } => self.ask(operation, entry),
-            Event::Patience(call) => self.lose_patience(call),
+            Event::DelegatedCompletes { to, ticket, outcome } => {
+                self.delegated_completes(to, ticket, outcome);
+            }
+            Event::SendCall { operation, entry } => self.send_call(operation, entry),
+            Event::CallerTimeout(call) => self.time_out_caller(call),
             Event::GetKey { operation, entry } => self.get_key(operation, entry),
-            Event::Fault(fault) => self.happen(fault),
+            Event::Fault(fault) => self.inject(fault),
         }
     }
 }
--- a/crates/node/tests/entry_answers.rs
+++ b/crates/node/tests/entry_answers.rs
@@ -1,10 +1,10 @@
-//! Every caller receives the whole answer to its own request, or learns that it has not.
+//! No caller takes an incomplete or mixed answer for a complete one.
 
 mod common;
 
 use celeryhaven_checks::{Bounds, Tally, Violation};
 use celeryhaven_types::Idempotency;
-use common::{Fault, Habits, KeySource, Plan, Schedule, TargetFaults, World, schedules};
+use common::{Fault, KeySource, Plan, PolicyBehaviour, Schedule, TargetFaults, World, schedules};
 
 const BOUNDS: Bounds = Bounds { loss_ms: 1_500, leaving_ms: 3_000 };
 const ENTRIES: usize = 4;
@@ -21,12 +21,11 @@
 
 #[test]
 fn answers_stream_cut_and_resumed() {
-    // Three streams in ten break halfway. An engine elsewhere goes on from the token that the
-    // caller has, so the caller sees one whole stream.
+    // 30 % of the streams fail halfway. Each is resumed elsewhere at the next token.
     let mut world = World::new(41, ENTRIES, BOUNDS);
     world.target_faults = TargetFaults { cut_mid_stream: 300, ..TargetFaults::default() };
     let tally = drafts(&mut world, 400);
-    assert!(tally.runs >= 450, "streams did break: {tally:?}");
+    assert!(tally.runs >= 450, "some streams must fail: {tally:?}");
     assert!(tally.answered * 100 >= tally.calls * 97, "{tally:?}");
 }
 
@@ -34,24 +33,23 @@
 fn answers_member_dies_in_mid_stream() {
     let mut world = World::new(42, ENTRIES, BOUNDS);
     world.fault(2_000, Fault::KillVm("a"));
-    world.fault(3_500, Fault::FormAnew { replica: "r1" });
+    world.fault(3_500, Fault::ReformReplica { replica: "r1" });
     let tally = drafts(&mut world, 400);
-    assert!(tally.runs >= 410, "streams did break: {tally:?}");
+    assert!(tally.runs >= 410, "some streams must fail: {tally:?}");
     assert!(tally.answered * 100 >= tally.calls * 97, "{tally:?}");
 }
 
 #[test]
 fn answers_late_after_cancel() {
-    // Slow answers come in long after the attempt was given up and the request sent elsewhere. They
-    // change nothing for the new attempt, and no caller sees a token of them.
-    let habits = Habits { first_byte_ms: Some(300), ..Habits::default() };
-    let mut world = World::with_habits(43, ENTRIES, BOUNDS, habits);
+    // Late answers of a cancelled attempt must not reach the caller or affect the new attempt.
+    let behaviour = PolicyBehaviour { first_byte_ms: Some(300), ..PolicyBehaviour::default() };
+    let mut world = World::with_behaviour(43, ENTRIES, BOUNDS, behaviour);
     world.target_faults =
         TargetFaults { slow: 200, cut_mid_stream: 200, ..TargetFaults::default() };
     for n in 0..300_u64 {
         let entry = usize::try_from(n).unwrap_or_default() % ENTRIES;
         let plan = Plan { retries: 0, deadline_ms: 8_000, ..Plan::draft(150) };
-        world.operation(1_000 + n * 50, &[entry], Plan { patience_ms: 9_000, ..plan });
+        world.operation(1_000 + n * 50, &[entry], Plan { caller_timeout_ms: 9_000, ..plan });
     }
     world.run_until(40_000);
     let tally = world.checks.tally();
@@ -61,8 +59,7 @@
 
 #[test]
 fn answers_entry_dies_between_target_and_caller() {
-    // The caller sees its connection break without an end mark, asks at another entry and gets the
-    // whole answer there.
+    // The connection breaks without an end mark; the retry at another entry gets the whole answer.
     let mut world = World::new(44, ENTRIES, BOUNDS);
     for n in 0..100_u64 {
         world.operation(1_000 + n * 10, &[0], Plan::draft(40));
@@ -76,8 +73,7 @@
 
 #[test]
 fn answers_plain_never_joined() {
-    // A plain answer breaks halfway after part of it went to the caller. A second answer cannot be
-    // joined to half a first, so the caller is told, though the call may be repeated.
+    // A plain answer that fails after partial delivery must not be completed from a second one.
     let mut world = World::new(45, ENTRIES, BOUNDS);
     world.target_faults = TargetFaults { cut_mid_stream: 300, ..TargetFaults::default() };
     let idempotency = Idempotency::Idempotent;
@@ -94,7 +90,7 @@
 
 #[test]
 fn answers_kept_for_duplicates() {
-    // Many callers ask with the same key, before and after the answer: each gets that one answer.
+    // Calls with the same key, before and after the answer, all get the one cached answer.
     for key in [KeySource::Issued(1), KeySource::Own] {
         let mut world = World::new(46, ENTRIES, BOUNDS);
         let entries = [0, 1, 2, 3, 0, 1, 2, 3];
--- a/crates/node/tests/entry_config.rs
+++ b/crates/node/tests/entry_config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at an entry never goes back.
+//! No entry reverts to an older configuration or placement.
 
 mod common;
 
@@ -11,21 +11,21 @@
 const BOUNDS: Bounds = Bounds { loss_ms: 1_500, leaving_ms: 3_000 };
 const ENTRIES: usize = 4;
 
-/// Runs step by step and notes the number in force of every process; none may decrease.
+/// Runs in steps and records the configuration number of every process; none may decrease.
 fn watch(world: &mut World, until_ms: u64, in_force: &mut BTreeMap<Boot, u64>) {
     while world.now < until_ms {
         world.run_until(world.now + 1);
         for (boot, number) in (0..ENTRIES).filter_map(|entry| world.config_number(entry)) {
             let before = in_force.insert(boot, number).unwrap_or_default();
-            assert!(before <= number, "{boot} went from {before} back to {number}");
+            assert!(before <= number, "{boot} reverted from {before} to {number}");
         }
     }
 }
 
 #[test]
 fn config_never_reverts() {
-    // Half of all lists are answered from the past, entries are paused (and read anew when they
-    // wake) and replaced, while an operator makes a change every twenty milliseconds.
+    // Half of all lists are outdated, and entries are paused and replaced, while the configuration
+    // changes every 20 ms.
     let mut world = World::new(71, ENTRIES, BOUNDS);
     world.stale_lists = 500;
     let mut in_force = BTreeMap::new();
@@ -50,22 +50,22 @@
 
 #[test]
 fn config_placement_never_reverts() {
-    // As before, but a replica is formed anew every hundred milliseconds: an entry that went back
-    // to an older placement would send requests to a formation that is gone.
+    // The same with a replica that is re-formed every 100 ms. A reverted entry would send to an old
+    // generation.
     let mut world = World::new(73, ENTRIES, BOUNDS);
     world.stale_lists = 500;
     for n in 0..4 {
         world.fault(1_100 + 2_000 * n, Fault::PauseEntry { entry: 1, for_ms: 1_600 });
     }
     for n in 0..80 {
-        world.fault(1_000 + 100 * n, Fault::FormAnew { replica: "r1" });
+        world.fault(1_000 + 100 * n, Fault::ReformReplica { replica: "r1" });
     }
     let mut in_force = BTreeMap::new();
     while world.now < 12_000 {
         world.run_until(world.now + 1);
         for (boot, number) in (0..ENTRIES).filter_map(|entry| world.generation(entry, "r1")) {
             let before = in_force.insert(boot, number).unwrap_or_default();
-            assert!(before <= number, "{boot} went from {before} back to {number}");
+            assert!(before <= number, "{boot} reverted from {before} to {number}");
         }
     }
     assert!(in_force.values().all(|generation| *generation == 81), "{in_force:?}");
@@ -73,8 +73,8 @@
 
 #[test]
 fn config_survives_outage() {
-    // The Object API is down for a minute: entries serve on with what they have, and have the
-    // change made right after it within the longest pause between their tries.
+    // After an outage of one minute, entries receive a new configuration within the longest retry
+    // interval.
     let mut world = World::new(72, ENTRIES, BOUNDS);
     let mut in_force = BTreeMap::new();
     world.fault(2_000, Fault::StoreDown { for_ms: 60_000 });
--- a/crates/node/tests/entry_fair.rs
+++ b/crates/node/tests/entry_fair.rs
@@ -1,18 +1,18 @@
-//! The promises with the policy in use, under the same schedules as with the smallest one.
+//! The guarantees under random fault schedules with the production policy.
 
 mod common;
 
 use celeryhaven_checks::{Bounds, Tally, Violation};
-use common::{Habits, KeySource, Plan, Schedule, TargetFaults, World, schedules};
+use common::{KeySource, Plan, PolicyBehaviour, Schedule, TargetFaults, World, schedules};
 use quickcheck::{Arbitrary, Gen};
 
 const BOUNDS: Bounds = Bounds { loss_ms: 1_500, leaving_ms: 3_000 };
 const ENTRIES: usize = 4;
 
-/// Updates with every kind of key and streamed drafts, side by side.
+/// Runs updates with every kind of key and streamed completions concurrently.
 fn run(schedule: &Schedule, faults: TargetFaults) -> World {
-    let habits = Habits { fair: true, ..Habits::default() };
-    let mut world = World::with_habits(schedule.seed, ENTRIES, BOUNDS, habits);
+    let behaviour = PolicyBehaviour { fair: true, ..PolicyBehaviour::default() };
+    let mut world = World::with_behaviour(schedule.seed, ENTRIES, BOUNDS, behaviour);
     world.target_faults = faults;
     world.store_answers_lost = 50;
     for (at_ms, fault) in &schedule.faults {
--- a/crates/node/tests/entry_followed.rs
+++ b/crates/node/tests/entry_followed.rs
@@ -1,4 +1,4 @@
-//! Which replicas an entry follows, by the size of the fleet.
+//! Replicas that an entry follows, by fleet size.
 
 mod common;
 
@@ -48,7 +48,7 @@
     placements.iter().map(|p| object(format!("placement/{}", p.domain), text(p))).collect()
 }
 
-/// Names of the replicas that a node of dc-0 follows.
+/// Returns the names of the replicas that a node of dc-0 follows.
 fn followed(node: &str, placements: &[DomainPlacement]) -> Vec<String> {
     let address = "10.0.0.1:80".parse().expect("an address");
     let incarnation = Incarnation::new(NodeName::new(node), Boot::new(1));
@@ -84,5 +84,9 @@
         domain.is_some_and(|number| number % DATA_CENTRES == 0)
     };
     assert_eq!(followed_by_one.iter().filter(|name| is_near(name)).count(), 80);
-    assert_ne!(followed_by_one, followed("entry-2", &placements), "far ones differ by entry");
+    assert_ne!(
+        followed_by_one,
+        followed("entry-2", &placements),
+        "remote replicas differ by entry"
+    );
 }
