--- a/crates/node/tests/entry_not_run.rs
+++ b/crates/node/tests/entry_not_run.rs
@@ -1,21 +1,21 @@
-//! When a caller is told that its request was not run, it was not run.
+//! No request that ran is reported to its caller as "not run".
 
 mod common;
 
 use celeryhaven_checks::{Bounds, Tally, Violation};
 use celeryhaven_types::{Idempotency, ModelName, RequestClass, ServiceName};
-use common::{Fault, Habits, KeySource, Plan, Schedule, TargetFaults, World, schedules};
+use common::{Fault, KeySource, Plan, PolicyBehaviour, Schedule, TargetFaults, World, schedules};
 
 const BOUNDS: Bounds = Bounds { loss_ms: 1_500, leaving_ms: 3_000 };
 const END_MS: u64 = 30_000;
-/// Calls that the two targets of the plain service run side by side.
+/// Total slots of the two targets of the plain service.
 const SLOTS: u64 = 16;
 
 fn once(plan: Plan) -> Plan {
     Plan { retries: 0, ..plan }
 }
 
-/// Runs updates without keys, one every ten milliseconds, and gives what came of them.
+/// Runs updates without keys, one every 10 ms, and returns the tally.
 fn updates(prepare: impl FnOnce(&mut World)) -> (Tally, World) {
     let mut world = World::new(11, 2, BOUNDS);
     prepare(&mut world);
@@ -36,7 +36,7 @@
 
 #[test]
 fn not_run_connect_failed() {
-    // Both targets die between two polls. Requests that find nobody at the address were not run.
+    // Both targets die between two polls. Requests that can't connect were not run.
     let (tally, _) = updates(|world| {
         world.fault(999, Fault::KillVm("p1"));
         world.fault(999, Fault::KillVm("p2"));
@@ -46,15 +46,15 @@
 
 #[test]
 fn not_run_waited_until_deadline() {
-    // All slots are taken by calls that hang, and many others wait until their deadline. Those that
-    // gave up in the queue are told "not run", and none of them runs when slots come free.
+    // All slots are taken by calls that hang. Requests that time out in the queue are "not run",
+    // and must not run when slots become free.
     let faults = TargetFaults { hang: 1_000, ..TargetFaults::default() };
     let mut world = World::new(11, 2, BOUNDS);
     world.target_faults = faults;
     for n in 0..100 {
         let deadline_ms = if n < SLOTS { 20_000 } else { 5_000 };
         let update = Plan::update(KeySource::None);
-        let plan = Plan { deadline_ms, patience_ms: 25_000, ..update };
+        let plan = Plan { deadline_ms, caller_timeout_ms: 25_000, ..update };
         world.operation(2_000 + n * 10, &[0], once(plan));
     }
     world.run_until(END_MS);
@@ -67,13 +67,12 @@
 
 #[test]
 fn not_run_paused_past_deadline() {
-    // The entry freezes with sixteen slow calls running and many waiting, and wakes after the
-    // deadline of all of these. What waited is told "not run" and does not leave any more; what
-    // came in during the pause is served.
+    // The entry is paused past the deadline of running and queued calls. Queued ones are "not run"
+    // and must not be sent; calls received during the pause are served.
     let mut world = World::new(11, 2, BOUNDS);
     world.target_faults = TargetFaults { slow: 1_000, ..TargetFaults::default() };
     for n in 0..60 {
-        let plan = Plan { patience_ms: 10_000, ..Plan::update(KeySource::None) };
+        let plan = Plan { caller_timeout_ms: 10_000, ..Plan::update(KeySource::None) };
         world.operation(1_000 + n, &[0], once(plan));
     }
     world.fault(1_100, Fault::PauseEntry { entry: 0, for_ms: 4_000 });
@@ -85,7 +84,7 @@
 
 #[test]
 fn not_run_reset_is_may_have_run() {
-    // A reset after the first byte proves nothing, even where nothing ran.
+    // A reset after the first byte is "may have run", even if nothing ran.
     let faults = TargetFaults { reset_before_run: 1_000, ..TargetFaults::default() };
     let (tally, _) = updates(|world| world.target_faults = faults);
     assert_eq!((tally.not_run, tally.runs), (0, 0));
@@ -94,8 +93,8 @@
 
 #[test]
 fn not_run_after_an_attempt_that_ran() {
-    // A draft runs at one replica and its answer is lost; each further replica refuses. The last
-    // refusal alone would mean "not run", but the request has run.
+    // A request runs at one replica and loses its answer, then others refuse it. The last refusal
+    // must not turn the verdict into "not run".
     let mut world = World::new(12, 2, BOUNDS);
     world.target_faults = TargetFaults { refuse: 500, answer_lost: 500, ..TargetFaults::default() };
     for n in 0..200 {
@@ -109,10 +108,9 @@
 
 #[test]
 fn not_run_policy_refuses_what_runs() {
-    // A policy refuses at the deadline as "not run" although its request is at a target. The node
-    // knows that the request was handed to the driver and corrects the verdict.
-    let habits = Habits { blunt: true, ..Habits::default() };
-    let mut world = World::with_habits(14, 2, BOUNDS, habits);
+    // The policy refuses a running request as "not run"; the node must correct the verdict.
+    let behaviour = PolicyBehaviour { refuses_without_cancel: true, ..PolicyBehaviour::default() };
+    let mut world = World::with_behaviour(14, 2, BOUNDS, behaviour);
     world.target_faults = TargetFaults { slow: 1_000, ..TargetFaults::default() };
     for n in 0..20 {
         let plan = Plan { deadline_ms: 500, ..Plan::update(KeySource::None) };
@@ -146,7 +144,7 @@
 
 #[test]
 fn not_run_under_any_schedule() {
-    // Short deadlines put cancels, refusals and first bytes into the same milliseconds.
+    // Short deadlines make cancels, refusals and first bytes coincide.
     fn holds(schedule: Schedule) -> Result<(), Vec<Violation>> {
         let mut world = World::new(schedule.seed, 4, BOUNDS);
         world.target_faults = TargetFaults { slow: 200, refuse: 200, ..TargetFaults::mixed() };
--- a/crates/node/tests/entry_observers.rs
+++ b/crates/node/tests/entry_observers.rs
@@ -1,14 +1,14 @@
-//! Two entries observe each replica, and the others rely on them without being misled.
+//! Two entries observe each replica; the others must not act on outdated observations.
 
 mod common;
 
 use celeryhaven_checks::Bounds;
 use celeryhaven_types::VmName;
-use common::{Fault, Habits, Plan, TargetFaults, World};
+use common::{Fault, Plan, PolicyBehaviour, TargetFaults, World};
 
 const BOUNDS: Bounds = Bounds { loss_ms: 1_500, leaving_ms: 3_000 };
 
-/// Drafts at every entry, one every five milliseconds from one second on.
+/// Sends completions to every entry, one every 5 ms from 1 s on.
 fn load(world: &mut World, entries: usize, until_ms: u64) {
     for at_ms in (1_000..until_ms).step_by(5) {
         let entry = usize::try_from(at_ms / 5).unwrap_or_default() % entries;
@@ -18,7 +18,8 @@
 
 #[test]
 fn observers_share_the_polls() {
-    // Eight entries would send a member sixteen polls a second; two observers send four.
+    // Without observers, eight entries would send a member 16 polls a second; two observers send
+    // four.
     let mut world = World::new(81, 8, BOUNDS);
     load(&mut world, 8, 20_000);
     world.run_until(21_000);
@@ -32,9 +33,8 @@
 
 #[test]
 fn observers_both_dead() {
-    // Any two of four entries die at once. If they were the observers of a replica, the others look
-    // for themselves before the last news is too old: the replica is never without requests for
-    // long.
+    // Two of four entries die. If both observed a replica, the others must poll it themselves
+    // before the last observation expires.
     for (one, other) in [(0, 1), (0, 2), (0, 3), (1, 2), (1, 3), (2, 3)] {
         let mut world = World::new(82, 4, BOUNDS);
         world.fault(5_000, Fault::KillEntry(one));
@@ -53,8 +53,8 @@
 
 #[test]
 fn observers_answer_late() {
-    // A member restarts, and its observers tell everybody at once. Then answers come in that were
-    // given before and were long on the way: they must not bring the replica back.
+    // Observations sent before a member's restart and delayed must not make the replica eligible
+    // again.
     for at_ms in (3_000..3_500).step_by(50) {
         let mut world = World::new(84, 4, BOUNDS);
         world.late_observations = 500;
@@ -69,8 +69,8 @@
 
 #[test]
 fn observers_cannot_see_a_cut_of_ones_own() {
-    // One entry alone cannot reach rank 0. Its observers see the replica whole, but after its first
-    // failed request it believes only its own polls until these succeed again.
+    // Only one entry cannot reach rank 0. After its first failed request it must rely on its own
+    // polls until they succeed.
     for entry in 0..4 {
         let mut world = World::new(83, 4, BOUNDS);
         world.fault(3_000, Fault::CutTarget { entry, vm: "a", for_ms: 8_000 });
@@ -85,16 +85,16 @@
 
 #[test]
 fn observers_trusted_after_own_cancels() {
-    // A policy gives up attempts that start too slowly. That its own cancels end these attempts is
-    // no evidence against the targets: a slow replica stays up, and nobody polls it anew for that.
-    let habits = Habits { first_byte_ms: Some(100), ..Habits::default() };
-    let mut world = World::with_habits(85, 4, BOUNDS, habits);
+    // The policy cancels attempts that start too slowly. Own cancels must not count as target
+    // failures.
+    let behaviour = PolicyBehaviour { first_byte_ms: Some(100), ..PolicyBehaviour::default() };
+    let mut world = World::with_behaviour(85, 4, BOUNDS, behaviour);
     world.target_faults = TargetFaults { slow: 300, ..TargetFaults::default() };
     load(&mut world, 4, 10_000);
     world.run_until(20_000);
     let tally = world.checks.tally();
     assert_eq!(world.checks.finish(), vec![]);
-    assert!(tally.runs > tally.calls * 5 / 4, "attempts were given up: {tally:?}");
+    assert!(tally.runs > tally.calls * 5 / 4, "some attempts must be cancelled: {tally:?}");
     let polls = world.polls[&VmName::new("b")];
     assert!(polls <= 120, "{polls} polls of rank 1 in 20 s");
 }
--- a/crates/node/tests/entry_once.rs
+++ b/crates/node/tests/entry_once.rs
@@ -1,17 +1,16 @@
-//! A request marked non-idempotent runs at most once, whatever fails.
+//! No non-idempotent request runs twice under any fault.
 
 mod common;
 
 use celeryhaven_checks::{Bounds, Tally, Violation};
-use common::{Fault, Habits, KeySource, Plan, Schedule, TargetFaults, World, schedules};
+use common::{Fault, KeySource, Plan, PolicyBehaviour, Schedule, TargetFaults, World, schedules};
 use quickcheck::{Arbitrary, Gen};
 
 const BOUNDS: Bounds = Bounds { loss_ms: 1_500, leaving_ms: 3_000 };
 const ENTRIES: usize = 4;
 const END_MS: u64 = 40_000;
 
-/// Updates from callers with issued keys, their own keys and none, half of them asked at two
-/// entries at the same moment.
+/// Runs updates with issued keys, own keys and none, half of them sent to two entries at once.
 fn run(schedule: &Schedule) -> World {
     let mut world = World::new(schedule.seed, ENTRIES, BOUNDS);
     world.target_faults = TargetFaults::mixed();
@@ -29,8 +28,8 @@
         let twice = key != KeySource::None && n % 2 == 0;
         let other = (entry + 2) % ENTRIES;
         let entries = if twice { vec![entry, other] } else { vec![entry] };
-        let patience_ms = if n % 5 == 0 { 150 } else { 6_000 };
-        let plan = Plan { patience_ms, ..Plan::update(key) };
+        let caller_timeout_ms = if n % 5 == 0 { 150 } else { 6_000 };
+        let plan = Plan { caller_timeout_ms, ..Plan::update(key) };
         world.operation(1_000 + n * 60, &entries, plan);
     }
     world.run_until(END_MS);
@@ -49,8 +48,8 @@
 
 #[test]
 fn once_answers_are_useful() {
-    // A system that always says "may have run" is safe and worthless. Over the same schedules, most
-    // calls are answered, and few are told "may have run" although nothing ran.
+    // A system that always says "may have run" would pass the safety checks, so most calls must be
+    // answered.
     let mut generator = Gen::from_size_and_seed(100, 5);
     let mut sum = Tally::default();
     for _ in 0..100 {
@@ -68,7 +67,7 @@
     assert!(sum.may_have_run * 100 <= sum.calls * 25, "{sum:?}");
 }
 
-/// Refusals by their codes over the same schedules, for a person who reads the test's output.
+/// Prints refusals by code under the same schedules.
 #[test]
 fn once_refusals_by_code() {
     let mut generator = Gen::from_size_and_seed(100, 5);
@@ -84,8 +83,7 @@
 
 #[test]
 fn once_same_key_at_two_entries() {
-    // A caller sends one lot update to two entries in the same millisecond. Both get the one
-    // answer, and the target runs it once, whoever made the key.
+    // One update is sent to two entries in the same millisecond. Both must return the one answer.
     for key in [KeySource::Issued(0), KeySource::Issued(2), KeySource::Own] {
         let mut world = World::new(3, ENTRIES, BOUNDS);
         world.operation(1_000, &[0, 1], Plan::update(key));
@@ -98,8 +96,8 @@
 
 #[test]
 fn once_issuer_killed_while_running() {
-    // The entry that issued the key dies while the target runs the update. The caller retries
-    // elsewhere with the same key and is told that it may have run; it never runs again.
+    // The issuer of the key dies while the update runs. Retries elsewhere must be told "may have
+    // run".
     let mut world = World::new(4, ENTRIES, BOUNDS);
     world.operation(1_000, &[0], Plan::update(KeySource::Issued(0)));
     world.fault(1_008, Fault::KillEntry(0));
@@ -125,11 +123,11 @@
 
 #[test]
 fn once_caller_breaks_off_and_retries() {
-    // The caller closes its connection while its update runs and asks at the next entry. The update
-    // was not stopped, so the retry gets the answer.
+    // The caller disconnects while its update runs; the retry at the next entry must get its
+    // answer.
     for key in [KeySource::Issued(0), KeySource::Own] {
         let mut world = World::new(5, ENTRIES, BOUNDS);
-        let plan = Plan { patience_ms: 9, ..Plan::update(key) };
+        let plan = Plan { caller_timeout_ms: 9, ..Plan::update(key) };
         world.operation(1_000, &[0], plan);
         world.run_until(10_000);
         let tally = world.checks.tally();
@@ -140,8 +138,8 @@
 
 #[test]
 fn once_paused_entry_wakes_late() {
-    // An entry freezes between the decision to send and the first byte, and wakes after the
-    // caller's deadline, while the caller has asked elsewhere. It must not send what it held.
+    // An entry is paused between decision and first byte, past the deadline. It must not send the
+    // request.
     let mut world = World::new(6, ENTRIES, BOUNDS);
     for n in 0..40 {
         world.operation(1_000 + n, &[0], Plan::update(KeySource::Issued(0)));
@@ -153,9 +151,8 @@
 
 #[test]
 fn once_store_down_and_lossy() {
-    // The Object API is down for ten seconds and loses one answer in five when it is up. Updates
-    // with the caller's own key are refused and not run while they cannot be claimed; those with
-    // issued keys do not notice.
+    // The Object API is down for 10 s and loses 20 % of its answers otherwise. Own keys cannot be
+    // claimed then and are "not run"; issued keys are unaffected.
     let mut world = World::new(7, ENTRIES, BOUNDS);
     world.store_answers_lost = 200;
     world.fault(2_000, Fault::StoreDown { for_ms: 10_000 });
@@ -169,15 +166,14 @@
     let tally = world.checks.tally();
     assert_eq!(world.checks.finish(), vec![]);
     println!("{tally:?} {:?}", world.refusals);
-    assert!(tally.answered >= 100, "issued keys need no store: {tally:?}");
+    assert!(tally.answered >= 100, "issued keys must work without the store: {tally:?}");
 }
 
 #[test]
 fn once_policy_that_retries_everything() {
-    // A policy with a fault sends again what may have run. The node keeps its own record of what
-    // left and refuses instead.
-    let habits = Habits { reckless: true, ..Habits::default() };
-    let mut world = World::with_habits(8, ENTRIES, BOUNDS, habits);
+    // The policy retries requests that may have run; the node must refuse them.
+    let behaviour = PolicyBehaviour { retries_all: true, ..PolicyBehaviour::default() };
+    let mut world = World::with_behaviour(8, ENTRIES, BOUNDS, behaviour);
     world.target_faults = TargetFaults { answer_lost: 500, ..TargetFaults::default() };
     for n in 0..60 {
         world.operation(1_000 + n * 20, &[0], Plan::update(KeySource::None));
--- a/crates/node/tests/entry_path.rs
+++ b/crates/node/tests/entry_path.rs
@@ -1,4 +1,4 @@
-//! Requests through entry nodes while nothing fails.
+//! Requests through entry nodes without faults.
 
 mod common;
 
--- a/crates/node/tests/entry_status.rs
+++ b/crates/node/tests/entry_status.rs
@@ -1,4 +1,4 @@
-//! One entry of each data centre reports which configuration is in force there.
+//! One entry of each data centre reports the configuration in force there.
 
 mod common;
 
@@ -28,27 +28,27 @@
     StoreReply::Listed { version: ObjectVersion::new(1), objects }
 }
 
-/// Ticks a node until `until_ms`; gives its calls for the status object.
+/// Ticks a node until `until_ms`; returns its reads of the status object.
 fn run(node: &mut EntryNode<LeastLoaded>, until_ms: u64) -> Vec<StoreCallId> {
     let mut calls = Vec::new();
     for now in (1_000..=until_ms).step_by(100).map(TimeMs::new) {
         let mut actions = Vec::new();
         node.handle(now, EntryEvent::Tick, &mut actions);
         answer_lists(node, now, &actions);
-        calls.extend(looks(&actions));
+        calls.extend(status_reads(&actions));
     }
     calls
 }
 
-/// Calls that look for the status object.
-fn looks(actions: &[EntryAction]) -> Vec<StoreCallId> {
-    let looks = actions.iter().filter_map(|action| match action {
+/// Returns the reads of the status object.
+fn status_reads(actions: &[EntryAction]) -> Vec<StoreCallId> {
+    let status_reads = actions.iter().filter_map(|action| match action {
         EntryAction::Store { call, request: StoreRequest::Get { key } } => {
             (key.as_str() == KEY).then_some(*call)
         }
         _ => None,
     });
-    looks.collect()
+    status_reads.collect()
 }
 
 fn answer_lists(node: &mut EntryNode<LeastLoaded>, now: TimeMs, actions: &[EntryAction]) {
@@ -60,7 +60,7 @@
     }
 }
 
-/// What the node writes once it is told that there is no such object.
+/// Returns what the node writes when the object does not exist.
 fn written(node: &mut EntryNode<LeastLoaded>, call: StoreCallId, now_ms: u64) -> DataCentreStatus {
     let mut actions = Vec::new();
     let reply = EntryEvent::Store { call, reply: StoreReply::Missing };
@@ -81,23 +81,22 @@
     own.unix_at_clock_zero_ms = 1_000_000;
     let mut node = EntryNode::new(own, LeastLoaded::default(), [1; 32]);
     let calls = run(&mut node, 7_000);
-    assert_eq!(calls.len(), 1, "one look while its answer is out: {calls:?}");
+    assert_eq!(calls.len(), 1, "one read while its reply is pending: {calls:?}");
     let status = written(&mut node, calls[0], 7_001);
     assert_eq!(status.config_number, ConfigNumber::new(1));
     assert_eq!(status.entries_alive, 1);
     assert_eq!(status.at_unix_ms, 1_007_001);
 }
 
-// One of two entries of a data centre is behind: it hears of members but not of objects. The
-// operator must not be told that the newest configuration is in force there.
+// The latest configuration must not be reported while one of two entries is behind.
 #[test]
 fn status_counts_the_entry_that_is_behind() {
     let reported = ["entry-0", "entry-1"].map(status_beside_one_behind);
     let reported: Vec<_> = reported.into_iter().flatten().collect();
-    assert_eq!(reported, [ConfigNumber::default()], "one of the two names reports");
+    assert_eq!(reported, [ConfigNumber::default()], "exactly one of the two entries must report");
 }
 
-/// The configuration that a node reports beside another one that is behind, if it reports.
+/// Returns the configuration reported next to an entry that is behind, if any.
 fn status_beside_one_behind(name: &str) -> Option<ConfigNumber> {
     let other = if name == "entry-0" { "entry-1" } else { "entry-0" };
     let peer = PeerEntry {
@@ -113,22 +112,22 @@
         let (mut actions, mut answers) = (Vec::new(), Vec::new());
         node.handle(now, EntryEvent::Tick, &mut actions);
         answer_lists(&mut node, now, &actions);
-        if let Some(call) = looks(&actions).first() {
+        if let Some(call) = status_reads(&actions).first() {
             assert_eq!(node.config_number(), Some(ConfigNumber::new(1)));
             return Some(written(&mut node, *call, now.get()).config_number);
         }
         behind.handle(now, EntryEvent::Tick, &mut answers);
-        pass_on(&actions, &mut behind, name, now, &mut answers, is_of_members);
+        pass_on(&actions, &mut behind, name, now, &mut answers, is_membership);
         pass_on(&answers, &mut node, other, now, &mut Vec::new(), |_| true);
     }
     None
 }
 
-fn is_of_members(message: &PeerMessage) -> bool {
+fn is_membership(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::Membership(_))
 }
 
-/// Gives a node the messages among another one's actions.
+/// Delivers the messages among another node's actions.
 fn pass_on(
     actions: &[EntryAction],
     to: &mut EntryNode<LeastLoaded>,
--- a/crates/node/tests/entry_stop.rs
+++ b/crates/node/tests/entry_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry cuts off no request in flight.
+//! A planned stop of an entry interrupts no request.
 
 mod common;
 
@@ -7,14 +7,13 @@
 
 const BOUNDS: Bounds = Bounds { loss_ms: 1_500, leaving_ms: 3_000 };
 const STOP_MS: u64 = 3_000;
-/// How long callers keep an address answer (`address_ttl_ms`).
+/// Time that callers cache an address answer (`address_ttl_ms`).
 const ADDRESS_TTL_MS: u64 = 5_000;
 
 #[test]
 fn stop_with_cached_addresses() {
-    // An entry is told to stop while callers hold its address for five more seconds and connect to
-    // it as before. All of them are served, the last stream for three seconds after that, and only
-    // then does the process go.
+    // Callers use a cached address for 5 s after the stop. All must be served, and the process
+    // exits after its last stream.
     let mut world = World::new(61, 4, BOUNDS);
     world.fault(STOP_MS, Fault::StopEntry(0));
     for n in 0..700_u64 {
@@ -24,18 +23,17 @@
         world.operation(1_000 + n * 10, &[1], plan);
     }
     world.run_until(STOP_MS + ADDRESS_TTL_MS + 2_000);
-    assert!(world.is_running(0), "a stream still runs");
+    assert!(world.is_running(0), "a stream is still running");
     world.run_until(40_000);
     let tally = world.checks.tally();
     assert_eq!(world.checks.finish(), vec![]);
     assert_eq!((tally.answered, tally.cut_off), (1_400, 0), "{tally:?} {:?}", world.refusals);
-    assert!(!world.is_running(0), "it leaves in the end");
+    assert!(!world.is_running(0), "the process must exit after its last stream");
 }
 
 #[test]
 fn stop_refuses_what_comes_too_late() {
-    // A caller that ignores the lifetime of its address answer is refused as not run, and served
-    // at another entry.
+    // A caller that uses an expired address is refused as not run, and served elsewhere.
     let mut world = World::new(62, 4, BOUNDS);
     world.fault(STOP_MS, Fault::StopEntry(0));
     world.operation(STOP_MS + 4_900, &[0], Plan::draft(350));
@@ -53,5 +51,5 @@
     assert_eq!(world.addresses_from(0).len(), 3);
     world.fault(2_000, Fault::StopEntry(0));
     world.run_until(2_010);
-    assert_eq!(world.addresses_from(0).len(), 2, "it names the others");
+    assert_eq!(world.addresses_from(0).len(), 2, "addresses of the two other entries");
 }
