--- a/crates/capacity/src/fleet/events.rs
+++ b/crates/capacity/src/fleet/events.rs
@@ -35,6 +35,8 @@
 pub(crate) fn is_request(event: &EntryEvent) -> bool {
     matches!(
         event,
-        EntryEvent::Arrived { .. } | EntryEvent::Attempt { .. } | EntryEvent::CallerGone { .. }
+        EntryEvent::Arrived { .. }
+            | EntryEvent::Attempt { .. }
+            | EntryEvent::CallerDisconnected { .. }
     )
 }
--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -26,7 +26,7 @@
         output_tokens_max: 400,
         prefix_hashes: (0..8).map(|block| ticket * 8 + block).collect(),
     };
-    EntryEvent::Arrived { ticket: Ticket::new(ticket), head, key: KeyUse::None, passed_on: false }
+    EntryEvent::Arrived { ticket: Ticket::new(ticket), head, key: KeyUse::None, delegated: false }
 }
 
 /// What a driver reports of an attempt that goes well, with the delay of each event.
--- a/crates/entry/src/control/carrier.rs
+++ b/crates/entry/src/control/carrier.rs
@@ -51,7 +51,7 @@
                 }
             }
             EntryAction::Refuse { ticket, refusal } => self.refuse(ticket, refusal),
-            EntryAction::PassOn { ticket, to, address } => self.pass_on(ticket, to, address),
+            EntryAction::Delegate { ticket, to, address } => self.pass_on(ticket, to, address),
             EntryAction::Replay { ticket, of } => self.replay(ticket, of),
             EntryAction::Forget { ticket } => self.kept.forget(ticket),
             EntryAction::Poll { vm, address } => self.reader.poll(vm, address),
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -54,7 +54,7 @@
 fn ending(outcome: Outcome, progress: Progress) -> AttemptEvent {
     match (outcome, progress) {
         (Outcome::Refused, _) => AttemptEvent::Refused,
-        (_, Progress::Sent) => AttemptEvent::Broken,
+        (_, Progress::Sent) => AttemptEvent::Failed,
         (_, Progress::Unsent) => AttemptEvent::ConnectFailed,
         (Outcome::Stopped, Progress::Stopped) | (_, Progress::Expired) => AttemptEvent::Expired,
         (_, Progress::Stopped) => AttemptEvent::ConnectFailed,
--- a/crates/entry/src/http/respond.rs
+++ b/crates/entry/src/http/respond.rs
@@ -141,6 +141,6 @@
 
 /// Tells the control thread that a caller has gone.
 pub(crate) fn tell_gone(context: &HttpContext, exchange: &Arc<Exchange>) {
-    let event = EntryEvent::CallerGone { ticket: exchange.ticket() };
+    let event = EntryEvent::CallerDisconnected { ticket: exchange.ticket() };
     context.control.traffic(event, Some(exchange.clone()));
 }
--- a/crates/entry/src/http/service.rs
+++ b/crates/entry/src/http/service.rs
@@ -83,7 +83,7 @@
         ticket: exchange.ticket(),
         head: exchange.head.clone(),
         key,
-        passed_on,
+        delegated: passed_on,
     };
     context.control.traffic(event, Some(exchange.clone()));
 }
--- a/crates/entry/src/peer/passing.rs
+++ b/crates/entry/src/peer/passing.rs
@@ -31,7 +31,7 @@
                     false
                 }
             };
-            let event = EntryEvent::PassedOn { ticket: exchange.ticket(), answered };
+            let event = EntryEvent::DelegationCompleted { ticket: exchange.ticket(), answered };
             peers.control.traffic(event, Some(exchange));
         })
         .detach();
--- a/crates/node/src/entry/action.rs
+++ b/crates/node/src/entry/action.rs
@@ -45,7 +45,7 @@
         },
         /// Delegates the request to the entry whose incarnation issued its key, and streams its
         /// answer.
-        PassOn {
+        Delegate {
             /// The request.
             ticket: Ticket,
             /// The incarnation that issued the key.
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -27,6 +27,6 @@
         Finished,
         /// The attempt failed after the first byte: reset, timeout, foreign request id, or no end
         /// mark.
-        Broken,
+        Failed,
     }
 }
--- a/crates/node/src/entry/event.rs
+++ b/crates/node/src/entry/event.rs
@@ -35,7 +35,7 @@
             /// The key presented with it.
             key: KeyUse,
             /// Whether another entry delegated it because this node issued its key.
-            passed_on: bool,
+            delegated: bool,
         },
         /// An attempt at a target made progress or completed.
         Attempt {
@@ -47,14 +47,14 @@
             event: AttemptEvent,
         },
         /// A delegated request completed, with or without an answer.
-        PassedOn {
+        DelegationCompleted {
             /// The request.
             ticket: Ticket,
             /// Whether the caller received the other entry's complete final answer.
             answered: bool,
         },
         /// The caller closed its connection.
-        CallerGone {
+        CallerDisconnected {
             /// The request.
             ticket: Ticket,
         },
--- a/crates/node/src/entry/node.rs
+++ b/crates/node/src/entry/node.rs
@@ -112,16 +112,16 @@
         }
         match event {
             EntryEvent::Tick => self.tick(now, out),
-            EntryEvent::Arrived { ticket, head, key, passed_on } => {
-                self.arrived(now, ticket, head, key, passed_on, out);
+            EntryEvent::Arrived { ticket, head, key, delegated } => {
+                self.arrived(now, ticket, head, key, delegated, out);
             }
             EntryEvent::Attempt { ticket, attempt, event } => {
                 self.attempt_event(now, ticket, attempt, event, out);
             }
-            EntryEvent::PassedOn { ticket, answered } => {
+            EntryEvent::DelegationCompleted { ticket, answered } => {
                 self.delegation_completed(ticket, answered, out);
             }
-            EntryEvent::CallerGone { ticket } => self.caller_disconnected(now, ticket, out),
+            EntryEvent::CallerDisconnected { ticket } => self.caller_disconnected(now, ticket, out),
             EntryEvent::Polled { vm, outcome, .. } => self.polled(now, &vm, &outcome, out),
             EntryEvent::VmList { entries } => self.vm_list(now, entries, out),
             EntryEvent::Peer { from, message } => self.peer_message(now, &from, message, out),
--- a/crates/node/src/entry/serving/admission.rs
+++ b/crates/node/src/entry/serving/admission.rs
@@ -14,7 +14,7 @@
         ticket: Ticket,
         head: RequestHead,
         key: KeyUse,
-        passed_on: bool,
+        delegated: bool,
         out: &mut Vec<EntryAction>,
     ) {
         if self.requests.contains(ticket) {
@@ -25,7 +25,7 @@
         self.requests.insert(ticket, request);
         match key {
             KeyUse::Presented(text) if guarded => {
-                self.key_presented(now, ticket, &text, passed_on, out);
+                self.key_presented(now, ticket, &text, delegated, out);
             }
             _ => self.admit(now, ticket, out),
         }
--- a/crates/node/src/entry/serving/attempts.rs
+++ b/crates/node/src/entry/serving/attempts.rs
@@ -38,7 +38,7 @@
                 self.expedite_polls(now, target);
                 self.attempt_failed(now, ticket, Verdict::NotRun, out);
             }
-            AttemptEvent::Broken => {
+            AttemptEvent::Failed => {
                 // A failure caused by our own cancel is no evidence against the target.
                 if !was_cancelled {
                     self.suspect(now, target, out);
--- a/crates/node/src/entry/serving/keys.rs
+++ b/crates/node/src/entry/serving/keys.rs
@@ -17,7 +17,7 @@
         now: TimeMs,
         ticket: Ticket,
         key: &str,
-        passed_on: bool,
+        delegated: bool,
         out: &mut Vec<EntryAction>,
     ) {
         let Some(request) = self.requests.get_mut(ticket) else { return };
@@ -28,7 +28,7 @@
             key,
             fingerprint: fingerprint(&request.head),
             deadline_at: request.deadline_at,
-            passed_on,
+            passed_on: delegated,
         };
         let mut actions = Vec::new();
         self.once.present(now, presentation, &mut actions);
@@ -81,7 +81,7 @@
         request.stage = Stage::Delegated;
         let until = request.deadline_at.after(DELEGATION_GRACE_MS);
         self.requests.set_timer(until, ticket);
-        out.push(EntryAction::PassOn { ticket, to, address });
+        out.push(EntryAction::Delegate { ticket, to, address });
     }
 
     /// Completes a delegated request; without an answer it may have run at the issuer.
--- a/crates/node/tests/common/callers.rs
+++ b/crates/node/tests/common/callers.rs
@@ -158,7 +158,7 @@
     fn caller_disconnected(&mut self, process: Process, ticket: Ticket) {
         let Some(state) = self.request_state(process, ticket) else { return };
         state.origin = Origin::Disconnected;
-        self.schedule(0, Event::ToEntry(process, EntryEvent::CallerGone { ticket }));
+        self.schedule(0, Event::ToEntry(process, EntryEvent::CallerDisconnected { ticket }));
         let passed = self.entries.iter().enumerate().find_map(|(entry, fake)| {
             let fake = fake.as_ref()?;
             let origin = Origin::Peer(process, ticket);
--- a/crates/node/tests/common/driver.rs
+++ b/crates/node/tests/common/driver.rs
@@ -107,7 +107,7 @@
                     state.cached.remove(&ticket);
                 }
             }
-            EntryAction::PassOn { ticket, address, .. } => {
+            EntryAction::Delegate { ticket, address, .. } => {
                 self.send_delegated(process, ticket, address);
             }
             EntryAction::Poll { vm, .. } => {
@@ -137,7 +137,7 @@
         let Some(state) = self.request_state(process, ticket) else { return };
         let event = match state.attempt {
             Some((current, SendState::Pending)) if current == attempt => AttemptEvent::Expired,
-            Some((current, SendState::Sent)) if current == attempt => AttemptEvent::Broken,
+            Some((current, SendState::Sent)) if current == attempt => AttemptEvent::Failed,
             _ => return,
         };
         state.attempt = Some((attempt, SendState::Cancelled));
@@ -185,7 +185,7 @@
         }
         let event = match step {
             Step::Refused => AttemptEvent::Refused,
-            Step::Reset => AttemptEvent::Broken,
+            Step::Reset => AttemptEvent::Failed,
             Step::Head => AttemptEvent::Started,
             Step::Piece(piece) => {
                 state.delivered.push(piece);
@@ -193,7 +193,7 @@
             }
             Step::End => AttemptEvent::Finished,
         };
-        if matches!(event, AttemptEvent::Refused | AttemptEvent::Broken | AttemptEvent::Finished) {
+        if matches!(event, AttemptEvent::Refused | AttemptEvent::Failed | AttemptEvent::Finished) {
             state.attempt = Some((attempt, SendState::Completed));
         }
         if event == AttemptEvent::Finished {
@@ -214,7 +214,7 @@
             Step::Head => AttemptEvent::Started,
             Step::Piece(_) => AttemptEvent::Progress { tokens: 1 },
             Step::End => AttemptEvent::Finished,
-            Step::Reset => AttemptEvent::Broken,
+            Step::Reset => AttemptEvent::Failed,
         };
         let is_current = self
             .request_state(process, ticket)
--- a/crates/node/tests/common/entries.rs
+++ b/crates/node/tests/common/entries.rs
@@ -129,8 +129,8 @@
         };
         fake.tickets.insert(ticket, state);
         let key = key.map_or(KeyUse::None, KeyUse::Presented);
-        let passed_on = matches!(origin, Origin::Peer(..));
-        let event = EntryEvent::Arrived { ticket, head, key, passed_on };
+        let delegated = matches!(origin, Origin::Peer(..));
+        let event = EntryEvent::Arrived { ticket, head, key, delegated };
         self.schedule(0, Event::ToEntry(process, event));
         Some(ticket)
     }
@@ -194,7 +194,7 @@
         if let Some(outcome) = outcome {
             self.finish(to, ticket, outcome);
         }
-        self.schedule(0, Event::ToEntry(to, EntryEvent::PassedOn { ticket, answered }));
+        self.schedule(0, Event::ToEntry(to, EntryEvent::DelegationCompleted { ticket, answered }));
     }
 
     /// Sends a call to the Object API; during an outage one write in three is still executed, late.
