--- a/crates/entry/src/control/action_executor.rs
+++ b/crates/entry/src/control/action_executor.rs
@@ -51,7 +51,7 @@
                 }
             }
             EntryAction::Refuse { ticket, refusal } => self.refuse(ticket, refusal),
-            EntryAction::PassOn { ticket, to, address } => self.delegate(ticket, to, address),
+            EntryAction::Delegate { ticket, to, address } => self.delegate(ticket, to, address),
             EntryAction::Replay { ticket, of } => self.replay(ticket, of),
             EntryAction::Forget { ticket } => self.answers.remove(ticket),
             EntryAction::Poll { vm, address } => self.reader.poll(vm, address),
--- a/crates/entry/src/http/respond.rs
+++ b/crates/entry/src/http/respond.rs
@@ -145,6 +145,6 @@
 
 /// Notifies the control thread that a caller has disconnected.
 pub(crate) fn notify_disconnected(context: &HttpContext, exchange: &Arc<Exchange>) {
-    let event = EntryEvent::CallerGone { ticket: exchange.ticket() };
+    let event = EntryEvent::CallerDisconnected { ticket: exchange.ticket() };
     context.control.send_traffic(event, Some(exchange.clone()));
 }
