--- a/crates/node/src/controller/state/domain_control.rs
+++ b/crates/node/src/controller/state/domain_control.rs
@@ -225,7 +225,7 @@
         match outcome {
             // The address may have been reassigned to another VM.
             PollOutcome::Reported(report) if report.vm == *vm => {
-                state.apply_report(asked_at, report)
+                state.apply_report(asked_at, report);
             }
             _ => state.record_poll_failure(asked_at),
         }
