--- a/crates/stand-ins/src/args/command_line.rs
+++ b/crates/stand-ins/src/args/command_line.rs
@@ -4,38 +4,38 @@
 use pico_args::Arguments;
 use snafu::{ResultExt, Snafu};
 
-/// Why a command line was refused.
+/// An error in the command line.
 #[derive(Debug, Snafu)]
 pub enum ArgsError {
-    /// An option is missing or its value is not of the right kind.
-    #[snafu(display("give {option} a proper value: {source}"))]
+    /// An option is missing or its value is invalid.
+    #[snafu(display("invalid value or missing option {option}: {source}"))]
     Option {
-        /// The option.
+        /// The name of the option.
         option: &'static str,
-        /// What was wrong.
+        /// The parse error.
         source: pico_args::Error,
     },
-    /// Something is left that no option takes.
-    #[snafu(display("remove what no option takes: {rest}"))]
-    Rest {
-        /// What is left.
-        rest: String,
+    /// The command line has unknown arguments.
+    #[snafu(display("unknown arguments: {arguments}"))]
+    UnknownArguments {
+        /// The unknown arguments.
+        arguments: String,
     },
 }
 
-/// The options of one program.
+/// The command-line options of a program.
 #[derive(Debug)]
 pub struct CommandLine {
     arguments: Arguments,
 }
 
 impl CommandLine {
-    /// The options this process was started with.
+    /// Reads the options of this process.
     pub fn from_env() -> Self {
         Self { arguments: Arguments::from_env() }
     }
 
-    /// An option that must be given.
+    /// Returns the value of a required option.
     pub fn required<T>(&mut self, option: &'static str) -> Result<T, ArgsError>
     where
         T: FromStr<Err: Display>,
@@ -43,7 +43,7 @@
         self.arguments.value_from_str(option).context(OptionSnafu { option })
     }
 
-    /// An option with a default.
+    /// Returns the value of an option, or a default.
     pub fn or<T>(&mut self, option: &'static str, default: T) -> Result<T, ArgsError>
     where
         T: FromStr<Err: Display>,
@@ -51,7 +51,7 @@
         Ok(self.optional(option)?.unwrap_or(default))
     }
 
-    /// An option that may be left out.
+    /// Returns the value of an optional option.
     pub fn optional<T>(&mut self, option: &'static str) -> Result<Option<T>, ArgsError>
     where
         T: FromStr<Err: Display>,
@@ -59,7 +59,7 @@
         self.arguments.opt_value_from_str(option).context(OptionSnafu { option })
     }
 
-    /// An option that may be given several times.
+    /// Returns all values of a repeatable option.
     pub fn repeated<T>(&mut self, option: &'static str) -> Result<Vec<T>, ArgsError>
     where
         T: FromStr<Err: Display>,
@@ -67,18 +67,19 @@
         self.arguments.values_from_str(option).context(OptionSnafu { option })
     }
 
-    /// Whether a switch was given.
+    /// Whether a switch is present.
     pub fn switch(&mut self, option: &'static str) -> bool {
         self.arguments.contains(option)
     }
 
-    /// Refuses whatever no option took.
+    /// Returns an error if arguments are left that no option has consumed.
     pub fn finish(self) -> Result<(), ArgsError> {
-        let rest = self.arguments.finish();
-        if rest.is_empty() {
+        let arguments = self.arguments.finish();
+        if arguments.is_empty() {
             return Ok(());
         }
-        let rest = rest.iter().map(|part| part.to_string_lossy()).collect::<Vec<_>>().join(" ");
-        Err(ArgsError::Rest { rest })
+        let arguments =
+            arguments.iter().map(|part| part.to_string_lossy()).collect::<Vec<_>>().join(" ");
+        Err(ArgsError::UnknownArguments { arguments })
     }
 }
--- a/crates/stand-ins/src/bin/dev-certificates.rs
+++ b/crates/stand-ins/src/bin/dev-certificates.rs
@@ -1,4 +1,4 @@
-//! Writes an authority, and certificates of nodes and operators, into a folder.
+//! Writes a certificate authority, and certificates for nodes and operators, into a folder.
 
 use std::path::PathBuf;
 
--- a/crates/stand-ins/src/bin/stand-in-engine.rs
+++ b/crates/stand-ins/src/bin/stand-in-engine.rs
@@ -1,4 +1,4 @@
-//! Serves stand-ins of engines: many VMs, each at its own address, and one control port.
+//! Serves engine stand-ins: many VMs, each at its own address, and one control port.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,8 @@
     smol::block_on(async {
         let fleet = Arc::new(EngineFleet::new());
         for vm in &vms {
-            let (name, address) = vm.split_once('=').ok_or("write --vm NAME=ADDRESS")?;
+            let (name, address) =
+                vm.split_once('=').ok_or("invalid --vm: expected NAME=ADDRESS")?;
             fleet.start(name, address.parse()?, settings.clone()).await?;
         }
         let server = Server::bind(control, fleet).await?;
--- a/crates/stand-ins/src/bin/stand-in-object-api.rs
+++ b/crates/stand-ins/src/bin/stand-in-object-api.rs
@@ -1,4 +1,4 @@
-//! Serves the stand-in of the Object API.
+//! Serves the Object API stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/stand-ins/src/bin/stand-in-plain.rs
+++ b/crates/stand-ins/src/bin/stand-in-plain.rs
@@ -1,4 +1,4 @@
-//! Serves the stand-in of a plain service.
+//! Serves the plain service stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/stand-ins/src/bin/stand-in-vm-list.rs
+++ b/crates/stand-ins/src/bin/stand-in-vm-list.rs
@@ -1,4 +1,4 @@
-//! Serves the stand-in of the VM list.
+//! Serves the VM list stand-in.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/stand-ins/src/bin/stand-in-weights.rs
+++ b/crates/stand-ins/src/bin/stand-in-weights.rs
@@ -1,4 +1,4 @@
-//! Serves the stand-in of the weights store.
+//! Serves the weights store stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/stand-ins/src/caller/client.rs
+++ b/crates/stand-ins/src/caller/client.rs
@@ -13,21 +13,21 @@
 use crate::http::unix_us;
 
 state! {
-    /// A completion to ask for.
+    /// A completion request.
     pub struct Ask {
-        /// The model.
+        /// The name of the model.
         pub model: String,
         /// The prompt.
         pub prompt: String,
-        /// Tokens of the answer.
+        /// The maximum number of tokens to generate.
         pub tokens: u32,
         /// Whether the answer is streamed.
         pub stream: bool,
-        /// Further request headers.
+        /// Additional request headers.
         pub headers: Vec<(&'static str, String)>,
     }
 
-    /// A call of a plain service.
+    /// A call to a plain service.
     pub struct PlainCall {
         /// The method.
         pub method: &'static str,
@@ -35,19 +35,19 @@
         pub path: String,
         /// The body.
         pub body: String,
-        /// Further request headers.
+        /// Additional request headers.
         pub headers: Vec<(&'static str, String)>,
     }
 }
 
 impl Ask {
-    /// Asks a model for a streamed answer.
+    /// Creates a streaming request.
     pub fn new(model: impl Into<String>, prompt: impl Into<String>, tokens: u32) -> Self {
         let headers = Vec::new();
         Self { model: model.into(), prompt: prompt.into(), tokens, stream: true, headers }
     }
 
-    /// Asks for the answer in one piece.
+    /// Sets whether the answer is streamed or sent as one response.
     pub fn with_stream(mut self, stream: bool) -> Self {
         self.stream = stream;
         self
@@ -61,7 +61,7 @@
 }
 
 impl PlainCall {
-    /// A call without a body of its own.
+    /// Creates a call with an empty body.
     pub fn new(method: &'static str, path: impl Into<String>) -> Self {
         Self { method, path: path.into(), body: String::new(), headers: Vec::new() }
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Sends requests with one API key.
+/// An HTTP client that sends requests with one API key and validates the answers.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
@@ -88,29 +88,29 @@
 }
 
 impl Caller {
-    /// A caller with a generous timeout and a connection for each request.
+    /// Creates a caller with a timeout of 60 s and a new connection for each request.
     ///
-    /// The client library reads the rest of an answer that is dropped, to keep the connection. A
-    /// caller that goes away must close it, so connections are kept only when asked for.
+    /// With keep-alive, the client library drains a dropped response to reuse its connection.
+    /// Without it, dropping a response closes the connection, as a caller that disconnects does.
     pub fn new(api_key: impl Into<String>) -> Self {
         let config = trillium_smol::ClientConfig::new().with_nodelay(true);
         let client = Client::new(config).without_keepalive();
         Self { client, api_key: api_key.into(), timeout: Duration::from_secs(60) }
     }
 
-    /// Sets how long an answer may take.
+    /// Sets how long a request may take, in total.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Keeps connections for further requests.
+    /// Reuses pooled connections for later requests.
     pub fn with_kept_connections(mut self) -> Self {
         self.client = Client::new(trillium_smol::ClientConfig::new().with_nodelay(true));
         self
     }
 
-    /// Asks for a completion and checks that the answer is whole and its own.
+    /// Sends a completion request and checks that the answer is complete and belongs to it.
     pub async fn complete(&self, address: SocketAddr, ask: &Ask) -> Reply {
         let body = json!({
             "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.tokens,
@@ -120,25 +120,25 @@
         let conn = self.client.post(url).with_body(body.to_string());
         let conn = self.with_headers(conn, &ask.headers);
         let (asked_unix_us, start) = (unix_us(), Instant::now());
-        let mut reply = self.in_time(read_completion(conn, ask, start)).await;
+        let mut reply = self.within_timeout(read_completion(conn, ask, start)).await;
         reply.asked_unix_us = asked_unix_us;
         reply.total_us = start.elapsed().as_micros() as u64;
         reply
     }
 
-    /// Calls a plain service; the answer is whole if it echoes the path and body.
+    /// Calls a plain service and checks that the answer echoes the path and the body.
     pub async fn call(&self, address: SocketAddr, call: &PlainCall) -> Reply {
         let url = format!("http://{address}{}", call.path);
         let conn = self.client.build_conn(call.method, url).with_body(call.body.clone());
         let conn = self.with_headers(conn, &call.headers);
         let (asked_unix_us, start) = (unix_us(), Instant::now());
-        let mut reply = self.in_time(read_plain(conn, call)).await;
+        let mut reply = self.within_timeout(read_plain(conn, call)).await;
         reply.asked_unix_us = asked_unix_us;
         reply.total_us = start.elapsed().as_micros() as u64;
         reply
     }
 
-    /// Sends any request; status and body as JSON, `None` if there was no answer.
+    /// Sends a request and returns its status and JSON body, or `None` if there was no answer.
     pub async fn send(
         &self,
         method: &'static str,
@@ -151,17 +151,17 @@
         }
         let mut conn = self.with_headers(conn, &[]).await.ok()?;
         let status = conn.status()? as u16;
-        let text = text(&mut conn).await?;
+        let text = read_text(&mut conn).await?;
         Some((status, serde_json::from_str(&text).unwrap_or(Value::String(text))))
     }
 
-    /// Asks an entry which addresses to use; none if it does not say.
+    /// Queries an entry for the addresses to use. Returns none if the query fails.
     pub async fn addresses(&self, address: SocketAddr, data_centre: &str) -> Vec<SocketAddr> {
         let answer = self.address_answer(address, data_centre).await;
         answer.map(|(addresses, _)| addresses).unwrap_or_default()
     }
 
-    /// Asks an entry which addresses to use, and for how long; `None` if it does not say.
+    /// Queries an entry for the addresses to use and their time to live. Returns `None` on failure.
     pub async fn address_answer(
         &self,
         address: SocketAddr,
@@ -175,7 +175,7 @@
         (status == 200).then_some((addresses, ttl))
     }
 
-    /// Asks an entry for a request key.
+    /// Obtains a request key from an entry.
     pub async fn request_key(&self, address: SocketAddr) -> Option<String> {
         let url = format!("http://{address}/v1/keys");
         let (status, body) = self.send("POST", &url, Some(json!({"count": 1}))).await?;
@@ -191,18 +191,18 @@
             .fold(conn, |conn, (name, value)| conn.with_request_header(*name, value.clone()))
     }
 
-    async fn in_time(&self, reading: impl Future<Output = Reply>) -> Reply {
-        let late = async {
+    async fn within_timeout(&self, reading: impl Future<Output = Reply>) -> Reply {
+        let timed_out = async {
             Timer::after(self.timeout).await;
-            Reply::none(Outcome::Broken)
+            Reply::without_response(Outcome::Broken)
         };
-        smol::future::or(reading, late).await
+        smol::future::or(reading, timed_out).await
     }
 }
 
 async fn read_completion(conn: Conn, ask: &Ask, start: Instant) -> Reply {
-    let (mut conn, mut reply) = match head(conn).await {
-        Ok(head) => head,
+    let (mut conn, mut reply) = match read_head(conn).await {
+        Ok(response) => response,
         Err(reply) => return reply,
     };
     if ask.stream {
@@ -219,21 +219,21 @@
                 reply.first_token_us = start.elapsed().as_micros() as u64;
             }
         }
-        return judge_stream(reply, events, ask);
+        return validate_stream(reply, events, ask);
     }
-    let Some(body) = text(&mut conn).await else { return reply };
+    let Some(body) = read_text(&mut conn).await else { return reply };
     let value = serde_json::from_str::<Value>(&body).unwrap_or(Value::Null);
     let text = value["choices"][0]["text"].as_str().unwrap_or("");
     reply.text = text.to_owned();
-    reply.outcome = judge_text(text, ask);
+    reply.outcome = validate_text(text, ask);
     reply
 }
 
-fn judge_stream(mut reply: Reply, events: EventReader, ask: &Ask) -> Reply {
+fn validate_stream(mut reply: Reply, events: EventReader, ask: &Ask) -> Reply {
     reply.outcome = match (events.foreign, events.done) {
         (true, _) => Outcome::Foreign,
         (false, false) => Outcome::Broken,
-        (false, true) => judge_text(&events.text, ask),
+        (false, true) => validate_text(&events.text, ask),
     };
     if let Some(error) = events.error {
         reply.code = error["code"].as_str().map(str::to_owned);
@@ -243,7 +243,7 @@
     reply
 }
 
-fn judge_text(text: &str, ask: &Ask) -> Outcome {
+fn validate_text(text: &str, ask: &Ask) -> Outcome {
     match text == expected_text(&ask.prompt, 0..ask.tokens) {
         true => Outcome::Whole,
         false => Outcome::Foreign,
@@ -251,40 +251,41 @@
 }
 
 async fn read_plain(conn: Conn, call: &PlainCall) -> Reply {
-    let (mut conn, mut reply) = match head(conn).await {
-        Ok(head) => head,
+    let (mut conn, mut reply) = match read_head(conn).await {
+        Ok(response) => response,
         Err(reply) => return reply,
     };
-    let Some(body) = text(&mut conn).await else { return reply };
+    let Some(body) = read_text(&mut conn).await else { return reply };
     let value = serde_json::from_str::<Value>(&body).unwrap_or(Value::Null);
     let path = value["path"].as_str().unwrap_or("");
-    let own = !path.is_empty() && call.path.ends_with(path) && value["body"] == call.body.as_str();
-    reply.outcome = if own { Outcome::Whole } else { Outcome::Foreign };
+    let echoed =
+        !path.is_empty() && call.path.ends_with(path) && value["body"] == call.body.as_str();
+    reply.outcome = if echoed { Outcome::Whole } else { Outcome::Foreign };
     reply.text = body;
     reply
 }
 
-/// Sends the request and reads the head; a reply at once if it is no success.
+/// Sends the request and reads the response head. Returns an error for anything but a success.
 ///
-/// The reply that comes with a success says broken until the body proves better.
-async fn head(conn: Conn) -> Result<(Conn, Reply), Reply> {
+/// The outcome of a success is `Broken` until the body has been validated.
+async fn read_head(conn: Conn) -> Result<(Conn, Reply), Reply> {
     let mut conn = match conn.await {
         Ok(conn) => conn,
         Err(trillium_client::Error::Io(error))
             if error.kind() == std::io::ErrorKind::ConnectionRefused =>
         {
-            return Err(Reply::none(Outcome::Unreachable));
+            return Err(Reply::without_response(Outcome::Unreachable));
         }
-        Err(_) => return Err(Reply::none(Outcome::Broken)),
+        Err(_) => return Err(Reply::without_response(Outcome::Broken)),
     };
-    let mut reply = Reply::none(Outcome::Broken);
+    let mut reply = Reply::without_response(Outcome::Broken);
     reply.status = conn.status().map_or(0, |status| status as u16);
     reply.verdict = header(&conn, "x-verdict");
     reply.request_id = header(&conn, "x-request-id");
     if reply.status == 200 {
         return Ok((conn, reply));
     }
-    let body = text(&mut conn).await.unwrap_or_default();
+    let body = read_text(&mut conn).await.unwrap_or_default();
     let value = serde_json::from_str::<Value>(&body).unwrap_or(Value::Null);
     reply.code = value["error"]["code"].as_str().map(str::to_owned);
     reply.outcome = Outcome::Refused;
@@ -296,7 +297,7 @@
     conn.response_headers().get_str(name).map(str::to_owned)
 }
 
-/// The whole body; the library's own text reader takes no UTF-8 unless the answer names it.
-async fn text(conn: &mut Conn) -> Option<String> {
+/// Reads the whole body as UTF-8, whatever charset the response declares.
+async fn read_text(conn: &mut Conn) -> Option<String> {
     String::from_utf8(conn.response_body().read_bytes().await.ok()?).ok()
 }
--- a/crates/stand-ins/src/caller/events.rs
+++ b/crates/stand-ins/src/caller/events.rs
@@ -1,6 +1,6 @@
 use serde_json::Value;
 
-/// What a piece of a stream of server-sent events says.
+/// The state of a stream of server-sent events, parsed incrementally.
 #[derive(Debug, Default)]
 pub(crate) struct EventReader {
     pending: Vec<u8>,
@@ -8,21 +8,21 @@
     pub(crate) tokens: u32,
     pub(crate) done: bool,
     pub(crate) error: Option<Value>,
-    /// Whether an event carried another identity or came out of turn.
+    /// Whether an event had another request ID or an unexpected index.
     pub(crate) foreign: bool,
 }
 
 impl EventReader {
-    /// Takes bytes in as they come; events of request `id`, if it is known, are wanted.
+    /// Parses received bytes. Events must carry the request ID `id`, if it is known.
     pub(crate) fn push(&mut self, bytes: &[u8], id: Option<&str>) {
         self.pending.extend_from_slice(bytes);
         while let Some(end) = self.pending.windows(2).position(|pair| pair == b"\n\n") {
             let event = self.pending.drain(..end + 2).collect::<Vec<_>>();
-            self.event(&String::from_utf8_lossy(&event), id);
+            self.apply_event(&String::from_utf8_lossy(&event), id);
         }
     }
 
-    fn event(&mut self, event: &str, id: Option<&str>) {
+    fn apply_event(&mut self, event: &str, id: Option<&str>) {
         let Some(data) = event.trim_end().strip_prefix("data: ") else { return };
         if data == "[DONE]" {
             self.done = true;
--- a/crates/stand-ins/src/caller/mod.rs
+++ b/crates/stand-ins/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A caller of the completion API and of plain services, which checks what it gets.
+//! A caller of the completion API and of plain services that validates the answers.
 
 mod client;
 mod events;
--- a/crates/stand-ins/src/caller/outcome.rs
+++ b/crates/stand-ins/src/caller/outcome.rs
@@ -1,46 +1,46 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// What a caller was told in the end.
+    /// How a request completed, as seen by its caller.
     #[derive(Copy, Eq)]
     pub enum Outcome {
-        /// The whole answer, and it is the caller's own.
+        /// The complete answer to this request.
         Whole,
-        /// A whole answer that is not the one to this request.
+        /// A complete answer that belongs to another request.
         Foreign,
-        /// A stream that ended without its end mark, or an answer that broke off.
+        /// An interrupted answer, or a stream without an end marker.
         Broken,
-        /// A refusal, with a status and a verdict.
+        /// A rejection with a status and a verdict.
         Refused,
-        /// No answer: the connection could not be opened.
+        /// No answer, because the connection was refused.
         Unreachable,
     }
 
-    /// One answer as a caller saw it.
+    /// The answer to a request, as received by its caller.
     pub struct Reply {
-        /// What it came to.
+        /// How the request completed.
         pub outcome: Outcome,
-        /// The HTTP status; zero if none came.
+        /// The HTTP status, or zero if none was received.
         pub status: u16,
-        /// The `x-verdict` header, or the verdict of the error event that ended a stream.
+        /// The `x-verdict` header, or the verdict of the error event that terminated a stream.
         pub verdict: Option<String>,
-        /// The code of the error.
+        /// The error code.
         pub code: Option<String>,
         /// The `x-request-id` header.
         pub request_id: Option<String>,
-        /// The text, or the body of a plain answer.
+        /// The generated text, or the body of any other answer.
         pub text: String,
-        /// When the caller asked, in microseconds since the Unix epoch.
+        /// When the request was sent, in microseconds since the Unix epoch.
         pub asked_unix_us: u64,
-        /// Time to the first token, in microseconds; zero if none came.
+        /// Time to the first token, in microseconds, or zero if there was none.
         pub first_token_us: u64,
-        /// Time to the end, in microseconds.
+        /// Total time, in microseconds.
         pub total_us: u64,
     }
 }
 
 impl Reply {
-    pub(crate) fn none(outcome: Outcome) -> Self {
+    pub(crate) fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
             status: 0,
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Whether the caller got the whole answer to its own request.
+    /// Whether the complete answer to this request was received.
     pub fn whole(&self) -> bool {
         self.outcome == Outcome::Whole
     }
 
-    /// Whether the caller was told that its request was not run, and will not be.
+    /// Whether the answer guarantees that the request was not run and will not be.
     pub fn not_run(&self) -> bool {
         self.outcome == Outcome::Refused && self.verdict.as_deref() == Some("not_run")
     }
--- a/crates/stand-ins/src/certificates/mod.rs
+++ b/crates/stand-ins/src/certificates/mod.rs
@@ -1,4 +1,4 @@
-//! Certificates for tests and the demo: one authority, nodes and operators.
+//! Certificates for tests and the demo: one certificate authority, nodes and operators.
 
 mod write;
 
--- a/crates/stand-ins/src/certificates/write.rs
+++ b/crates/stand-ins/src/certificates/write.rs
@@ -7,58 +7,60 @@
 };
 use snafu::{ResultExt, Snafu};
 
-/// Why certificates could not be written.
+/// An error while creating certificates.
 #[derive(Debug, Snafu)]
 pub enum CertificatesError {
-    /// The library refused.
-    #[snafu(display("choose a name that fits a DNS label instead of {name}: {source}"))]
-    Make {
-        /// For whom.
+    /// The certificate could not be generated.
+    #[snafu(display(
+        "cannot create a certificate for {name}, use a DNS label as the name: {source}"
+    ))]
+    Generate {
+        /// The subject of the certificate.
         name: String,
-        /// What it said.
+        /// The error of the certificate library.
         source: rcgen::Error,
     },
     /// A file could not be written.
-    #[snafu(display("make {} writable: {source}", path.display()))]
+    #[snafu(display("cannot write {}: {source}", path.display()))]
     Write {
-        /// Which.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
 /// Writes `authority.crt`, and `NAME.ROLE.crt` and `NAME.ROLE.key` for each node and operator.
 ///
-/// ROLE is `node` or `operator`; the subject alternative name is `NAME.ROLE.celeryhaven`.
+/// `ROLE` is `node` or `operator`. The subject alternative name is `NAME.ROLE.celeryhaven`.
 pub fn write_certificates(
     folder: &Path,
     nodes: &[String],
     operators: &[String],
 ) -> Result<(), CertificatesError> {
     fs::create_dir_all(folder).context(WriteSnafu { path: folder })?;
-    let authority = make_authority().context(MakeSnafu { name: "authority" })?;
+    let authority = generate_authority().context(GenerateSnafu { name: "authority" })?;
     write(folder, "authority.crt", &authority.pem())?;
     let nodes = nodes.iter().map(|name| (name, "node"));
     let operators = operators.iter().map(|name| (name, "operator"));
     for (name, role) in nodes.chain(operators) {
         let subject = format!("{name}.{role}");
         let (certificate, key) =
-            make_member(&subject, &authority).context(MakeSnafu { name: &subject })?;
+            generate_certificate(&subject, &authority).context(GenerateSnafu { name: &subject })?;
         write(folder, &format!("{subject}.crt"), &certificate)?;
         write(folder, &format!("{subject}.key"), &key)?;
     }
     Ok(())
 }
 
-fn make_authority() -> Result<CertifiedIssuer<'static, KeyPair>, rcgen::Error> {
+fn generate_authority() -> Result<CertifiedIssuer<'static, KeyPair>, rcgen::Error> {
     let mut params = CertificateParams::new(vec!["authority.celeryhaven".to_owned()])?;
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
     CertifiedIssuer::self_signed(params, KeyPair::generate()?)
 }
 
-fn make_member(
+fn generate_certificate(
     subject: &str,
     authority: &CertifiedIssuer<'static, KeyPair>,
 ) -> Result<(String, String), rcgen::Error> {
--- a/crates/stand-ins/src/engine/batch.rs
+++ b/crates/stand-ins/src/engine/batch.rs
@@ -6,7 +6,7 @@
 };
 use crate::http::unix_us;
 
-/// Continuous batching at rank 0 of a formation, one step at a time.
+/// Continuous batching on rank 0 of a formation, one step at a time.
 #[derive(Debug)]
 pub struct Batch {
     settings: EngineSettings,
@@ -20,7 +20,7 @@
 }
 
 impl Batch {
-    /// An empty batch; what it runs is noted in the log.
+    /// Creates an empty batch that records its runs in a log.
     pub fn new(settings: EngineSettings, runs: Arc<RunLog>) -> Self {
         let lag = Duration::from_millis(settings.cache_event_lag_ms);
         Self {
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Names the replica in the log from now on.
+    /// Sets the replica name recorded for later runs.
     pub fn set_replica(&mut self, replica: &str) {
         self.replica = replica.to_owned();
     }
 
-    /// Takes a request in; `false` if too many wait.
+    /// Queues a request. Returns `false` if the queue is full.
     pub fn push(&mut self, sequence: Sequence) -> bool {
         let admitted = self.waiting.len() < self.settings.waiting_max;
         if admitted {
@@ -49,12 +49,12 @@
         admitted
     }
 
-    /// Gives free slots to those that wait, the highest priority first, then the oldest.
+    /// Assigns free slots to waiting requests by priority, then by age.
     pub fn admit(&mut self) {
         self.drop_abandoned();
         while self.running.len() < self.settings.slots && !self.waiting.is_empty() {
             let best = (0..self.waiting.len())
-                .max_by_key(|at| (self.waiting[*at].completion.priority, usize::MAX - at))
+                .max_by_key(|index| (self.waiting[*index].completion.priority, usize::MAX - index))
                 .unwrap_or(0);
             if self.kv_tokens() + self.waiting[best].kv_tokens() > self.settings.kv_tokens_max
                 && !self.running.is_empty()
@@ -62,8 +62,8 @@
                 return;
             }
             let mut sequence = self.waiting.remove(best);
-            sequence.skip_cached(self.cache.held(&sequence.blocks));
-            sequence.run = self.runs.start(EngineRun {
+            sequence.skip_cached(self.cache.cached_prefix_len(&sequence.blocks));
+            sequence.run_index = self.runs.start(EngineRun {
                 request_id: sequence.id.clone(),
                 replica: self.replica.clone(),
                 prompt: sequence.completion.prompt.clone(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// How long the next step takes; `None` if nothing runs.
+    /// Returns the duration of the next step, or `None` if no request is running.
     pub fn step_time(&self) -> Option<Duration> {
         if self.running.is_empty() {
             return None;
@@ -88,7 +88,7 @@
         Some(Duration::from_micros(us))
     }
 
-    /// Ends a step: prefill goes on, and each request past it gets a token.
+    /// Executes a step: continues prefill, and generates a token for each prefilled request.
     pub fn step(&mut self, now: Instant) {
         let mut prefill_left = self.settings.prefill_tokens_per_step;
         for sequence in &mut self.running {
@@ -101,7 +101,7 @@
                 }
                 self.events.push(now, self.cache.insert(&sequence.blocks));
             }
-            if !sequence.complete() && sequence.make_token() {
+            if !sequence.complete() && sequence.generate_token() {
                 self.tokens_generated += 1;
             }
         }
@@ -110,70 +110,70 @@
             let done = sequence.complete() && sequence.prefill_tokens_left == 0;
             if done {
                 sequence.finish();
-                runs.end(sequence.run, sequence.made(), RunOutcome::Finished);
+                runs.complete(sequence.run_index, sequence.tokens_made(), RunOutcome::Finished);
             } else if sequence.failed {
-                runs.end(sequence.run, sequence.made(), RunOutcome::Broken);
+                runs.complete(sequence.run_index, sequence.tokens_made(), RunOutcome::Broken);
             }
             !done && !sequence.failed
         });
         self.drop_abandoned();
     }
 
-    /// Ends a request by its identity; `false` if there is none.
+    /// Cancels a request by its ID. Returns `false` if there is no such request.
     pub fn cancel(&mut self, id: &str) -> bool {
         let before = self.running.len() + self.waiting.len();
         self.waiting.retain(|sequence| sequence.id != id);
-        self.end_running(RunOutcome::Cancelled, |sequence| sequence.id == id);
+        self.complete_running(RunOutcome::Cancelled, |sequence| sequence.id == id);
         before > self.running.len() + self.waiting.len()
     }
 
-    /// Breaks every answer; the formation is no more.
-    pub fn break_all(&mut self) {
+    /// Aborts all requests because the formation has failed.
+    pub fn abort_all(&mut self) {
         for sequence in self.waiting.iter_mut().chain(&mut self.running) {
             sequence.fail();
         }
         self.waiting.clear();
-        self.end_running(RunOutcome::Broken, |_| true);
+        self.complete_running(RunOutcome::Broken, |_| true);
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Prompt tokens still to be prefilled.
+    /// Returns the number of prompt tokens that have not been prefilled.
     pub fn prefill_tokens(&self) -> u64 {
         let all = self.running.iter().chain(&self.waiting);
         all.map(|sequence| sequence.prefill_tokens_left).sum()
     }
 
-    /// KV cache in use, in thousandths.
+    /// Returns the used share of the KV cache, in thousandths.
     pub fn kv_used_permille(&self) -> u32 {
         let permille = self.kv_tokens() * 1_000 / self.settings.kv_tokens_max.max(1);
         permille.min(1_000) as u32
     }
 
-    /// Tokens generated since the start.
+    /// Returns the number of tokens generated since the engine started.
     pub fn tokens_generated(&self) -> u64 {
         self.tokens_generated
     }
 
-    /// The prefix cache.
+    /// Returns the prefix cache.
     pub fn cache(&self) -> &PrefixCache {
         &self.cache
     }
 
-    /// Takes prefixes in that another engine exported.
+    /// Imports prefix blocks that another engine has exported.
     pub fn import(&mut self, blocks: &[u64], now: Instant) {
         self.events.push(now, self.cache.insert(blocks));
     }
 
-    /// Published cache events.
+    /// Returns the published cache events.
     pub fn events(&self) -> &CacheEvents {
         &self.events
     }
@@ -184,17 +184,17 @@
 
     fn drop_abandoned(&mut self) {
         self.waiting.retain(|sequence| !sequence.abandoned());
-        self.end_running(RunOutcome::Cancelled, Sequence::abandoned);
+        self.complete_running(RunOutcome::Cancelled, Sequence::abandoned);
     }
 
-    fn end_running(&mut self, outcome: RunOutcome, ends: impl Fn(&Sequence) -> bool) {
+    fn complete_running(&mut self, outcome: RunOutcome, matches: impl Fn(&Sequence) -> bool) {
         let runs = &self.runs;
         self.running.retain(|sequence| {
-            let ended = ends(sequence);
-            if ended {
-                runs.end(sequence.run, sequence.made(), outcome);
+            let matched = matches(sequence);
+            if matched {
+                runs.complete(sequence.run_index, sequence.tokens_made(), outcome);
             }
-            !ended
+            !matched
         });
     }
 }
--- a/crates/stand-ins/src/engine/cache.rs
+++ b/crates/stand-ins/src/engine/cache.rs
@@ -4,59 +4,59 @@
 
 use crate::engine::CacheEvent;
 
-/// A bounded cache of prompt blocks; the least recently used go first.
+/// A bounded LRU cache of prompt blocks.
 #[derive(Debug)]
 pub struct PrefixCache {
     blocks_max: usize,
-    uses: u64,
-    used_at: Map<u64, u64>,
+    use_count: u64,
+    last_use: Map<u64, u64>,
     by_use: BTreeMap<u64, u64>,
 }
 
 impl PrefixCache {
-    /// An empty cache of so many blocks.
+    /// Creates an empty cache with a capacity in blocks.
     pub fn new(blocks_max: usize) -> Self {
-        Self { blocks_max, uses: 0, used_at: Map::default(), by_use: BTreeMap::new() }
+        Self { blocks_max, use_count: 0, last_use: Map::default(), by_use: BTreeMap::new() }
     }
 
-    /// How many of the leading blocks are held, without a gap.
-    pub fn held(&self, blocks: &[u64]) -> usize {
-        blocks.iter().take_while(|block| self.used_at.contains_key(block)).count()
+    /// Returns the number of consecutive leading blocks that are cached.
+    pub fn cached_prefix_len(&self, blocks: &[u64]) -> usize {
+        blocks.iter().take_while(|block| self.last_use.contains_key(block)).count()
     }
 
-    /// Those of the blocks that are held.
-    pub fn those_held(&self, blocks: &[u64]) -> Vec<u64> {
-        blocks.iter().copied().filter(|block| self.used_at.contains_key(block)).collect()
+    /// Returns the blocks that are cached.
+    pub fn cached_blocks(&self, blocks: &[u64]) -> Vec<u64> {
+        blocks.iter().copied().filter(|block| self.last_use.contains_key(block)).collect()
     }
 
-    /// Takes blocks in as just used, and drops the least recently used beyond the bound.
+    /// Inserts or refreshes blocks and evicts the least recently used ones beyond the capacity.
     pub fn insert(&mut self, blocks: &[u64]) -> CacheEvent {
         let mut event = CacheEvent::default();
         for block in blocks {
-            self.uses += 1;
-            match self.used_at.insert(*block, self.uses) {
-                Some(before) => {
-                    self.by_use.remove(&before);
+            self.use_count += 1;
+            match self.last_use.insert(*block, self.use_count) {
+                Some(previous_use) => {
+                    self.by_use.remove(&previous_use);
                 }
                 None => event.added.push(*block),
             }
-            self.by_use.insert(self.uses, *block);
+            self.by_use.insert(self.use_count, *block);
         }
-        while self.used_at.len() > self.blocks_max {
+        while self.last_use.len() > self.blocks_max {
             let Some((_, block)) = self.by_use.pop_first() else { break };
-            self.used_at.remove(&block);
+            self.last_use.remove(&block);
             event.removed.push(block);
         }
         event
     }
 
-    /// How many blocks are held.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
-        self.used_at.len()
+        self.last_use.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
-        self.used_at.is_empty()
+        self.last_use.is_empty()
     }
 }
--- a/crates/stand-ins/src/engine/completion.rs
+++ b/crates/stand-ins/src/engine/completion.rs
@@ -1,41 +1,41 @@
 use serde::Deserialize;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Tokens of an answer when the caller names no number.
-const OUTPUT_TOKENS: u32 = 16;
+/// The default of `max_tokens`.
+const DEFAULT_OUTPUT_TOKENS: u32 = 16;
 
-/// Why a body is no completion request.
+/// An error in a completion request.
 #[derive(Debug, Snafu)]
 pub enum CompletionError {
-    /// It is not the JSON that the API takes.
-    #[snafu(display("send a completion request as JSON: {source}"))]
+    /// The body is not valid JSON for a completion request.
+    #[snafu(display("invalid completion request: {source}"))]
     Json {
-        /// What was wrong.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// It has neither a prompt nor messages.
-    #[snafu(display("send a prompt or messages"))]
+    /// The request has neither a prompt nor messages.
+    #[snafu(display("completion request has neither a prompt nor messages"))]
     NoPrompt,
 }
 
-/// A completion request as an engine takes it.
+/// A parsed completion request.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// The model asked for.
+    /// The name of the model.
     pub model: String,
-    /// The adapter asked for.
+    /// The name of the adapter.
     pub adapter: Option<String>,
-    /// The prompt, or the contents of all messages joined by newlines.
+    /// The prompt, or the contents of all messages, joined by newlines.
     pub prompt: String,
-    /// Whether it came as a chat.
+    /// Whether the request uses the chat format.
     pub chat: bool,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Tokens of the answer.
+    /// The number of tokens to generate.
     pub tokens: u32,
-    /// Tokens that the caller already has.
+    /// The index of the first token to generate, as the caller has the earlier ones.
     pub resume_from: u32,
-    /// Higher goes first.
+    /// The priority; higher values are served first.
     pub priority: u8,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Completion {
-    /// Reads a request body.
+    /// Parses a request body.
     pub fn parse(body: &[u8]) -> Result<Self, CompletionError> {
         let body = serde_json::from_slice::<Body>(body).context(JsonSnafu)?;
         let chat = body.messages.is_some();
@@ -75,7 +75,7 @@
             prompt,
             chat,
             stream: body.stream,
-            tokens: body.max_tokens.unwrap_or(OUTPUT_TOKENS).max(1),
+            tokens: body.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS).max(1),
             resume_from: body.resume_from,
             priority: body.priority,
         })
--- a/crates/stand-ins/src/engine/control.rs
+++ b/crates/stand-ins/src/engine/control.rs
@@ -4,7 +4,7 @@
 use crate::http::{Answer, Request, Serve};
 
 impl Serve for EngineFleet {
-    /// Answers the control port: `POST /faults`, `GET /runs`.
+    /// Serves the control port: `POST /faults` and `GET /runs`.
     async fn serve(&self, request: Request) -> Answer {
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/faults") => match request.json::<FaultOrder>() {
--- a/crates/stand-ins/src/engine/directory.rs
+++ b/crates/stand-ins/src/engine/directory.rs
@@ -8,10 +8,10 @@
 
 use crate::engine::{EngineVm, MemberView};
 
-/// How long a member in another process may take to answer, in milliseconds.
-const ANSWER_TIMEOUT_MS: u64 = 2_000;
+/// Timeout for queries to members in other processes, in milliseconds.
+const MEMBER_QUERY_TIMEOUT_MS: u64 = 2_000;
 
-/// Finds the members of a formation, in this process directly and in others over HTTP.
+/// Resolves the members of a formation: directly in this process, over HTTP in others.
 #[derive(Debug)]
 pub(crate) struct Directory {
     hosted: Mutex<Map<SocketAddr, Weak<EngineVm>>>,
@@ -24,17 +24,17 @@
         Self { hosted: Mutex::default(), client }
     }
 
-    /// Names the VM that runs at an address; a dead one is named by an empty reference.
-    pub(crate) fn set(&self, address: SocketAddr, vm: Weak<EngineVm>) {
+    /// Registers the VM at an address. A stopped VM is registered as a dangling reference.
+    pub(crate) fn register(&self, address: SocketAddr, vm: Weak<EngineVm>) {
         self.lock().insert(address, vm);
     }
 
-    /// What the member at this address says of itself.
-    pub(crate) async fn ask(&self, address: SocketAddr) -> Option<MemberView> {
+    /// Queries the state of the member at an address.
+    pub(crate) async fn fetch_view(&self, address: SocketAddr) -> Option<MemberView> {
         let hosted = self.lock().get(&address).cloned();
         match hosted {
-            Some(vm) => vm.upgrade().and_then(|vm: Arc<EngineVm>| vm.view()),
-            None => self.ask_elsewhere(address).await,
+            Some(vm) => vm.upgrade().and_then(|vm: Arc<EngineVm>| vm.member_view()),
+            None => self.fetch_remote_view(address).await,
         }
     }
 
@@ -42,17 +42,17 @@
         &self.client
     }
 
-    async fn ask_elsewhere(&self, address: SocketAddr) -> Option<MemberView> {
-        let asking = async {
+    async fn fetch_remote_view(&self, address: SocketAddr) -> Option<MemberView> {
+        let query = async {
             let mut conn = self.client.get(format!("http://{address}/member")).await.ok()?;
             let body = conn.response_body().read_bytes().await.ok()?;
             serde_json::from_slice(&body).ok()
         };
-        let late = async {
-            Timer::after(Duration::from_millis(ANSWER_TIMEOUT_MS)).await;
+        let timeout = async {
+            Timer::after(Duration::from_millis(MEMBER_QUERY_TIMEOUT_MS)).await;
             None
         };
-        smol::future::or(asking, late).await
+        smol::future::or(query, timeout).await
     }
 
     fn lock(&self) -> MutexGuard<'_, Map<SocketAddr, Weak<EngineVm>>> {
--- a/crates/stand-ins/src/engine/faults.rs
+++ b/crates/stand-ins/src/engine/faults.rs
@@ -1,45 +1,45 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// Faults of one engine VM; fields left out are off.
+    /// Faults of an engine VM. Omitted fields are off.
     #[derive(Copy, Default, Eq)]
     #[serde(default, deny_unknown_fields)]
     pub struct EngineFaults {
-        /// It answers nothing and makes no token, but keeps its memory.
+        /// Suspends the engine: no answers and no tokens, but its memory is retained.
         pub frozen: bool,
-        /// Each step takes longer by this factor, in thousandths; zero is the normal pace.
+        /// Multiplies the duration of each step, in thousandths. Zero means normal speed.
         pub slow_permille: u32,
-        /// It admits nothing new.
+        /// Rejects new requests.
         pub refuse: bool,
-        /// How many of the next streams break.
+        /// The number of upcoming streams to cut.
         pub cut_streams: u32,
-        /// After how many tokens they break.
+        /// The number of tokens after which these streams are cut.
         pub cut_after_tokens: u32,
-        /// How many of the next answers carry another request's identity.
+        /// The number of upcoming answers that carry the ID of another request.
         pub cross_answers: u32,
-        /// How long every answer takes longer, in milliseconds.
+        /// A delay added to every answer, in milliseconds.
         pub delay_ms: u64,
-        /// How long orders are on their way before they are looked at, in milliseconds.
+        /// A delay added before orders are processed, in milliseconds.
         pub delay_orders_ms: u64,
     }
 
-    /// What is done to one engine VM.
+    /// A fault to inject into an engine VM.
     #[serde(rename_all = "snake_case")]
     pub enum EngineFault {
-        /// It stops: its port closes and every connection is cut.
+        /// Stops the VM: closes its port and all connections.
         Die,
-        /// It starts anew with empty memory, at the same address.
+        /// Restarts the VM with empty memory at the same address.
         Restart,
-        /// Its faults become these.
+        /// Replaces the set of active faults.
         Set(EngineFaults),
     }
 
-    /// Body of `POST /faults` on the control port.
+    /// The body of `POST /faults` on the control port.
     #[serde(deny_unknown_fields)]
     pub struct FaultOrder {
-        /// Which VM.
+        /// The name of the VM.
         pub vm: String,
-        /// What.
+        /// The fault to inject.
         pub fault: EngineFault,
     }
 }
--- a/crates/stand-ins/src/engine/fleet.rs
+++ b/crates/stand-ins/src/engine/fleet.rs
@@ -12,37 +12,37 @@
 use crate::engine::{EngineFault, EngineSettings, EngineVm, RunLog};
 use crate::http::{Server, unix_us};
 
-/// Why a fault could not be set.
+/// An error while starting a VM or injecting a fault.
 #[derive(Debug, Snafu)]
 pub enum FleetError {
-    /// There is no such VM.
-    #[snafu(display("name a VM of this process instead of {vm}"))]
+    /// No VM has this name.
+    #[snafu(display("unknown VM {vm}: expected the name of a VM of this process"))]
     UnknownVm {
-        /// The name.
+        /// The requested name.
         vm: String,
     },
-    /// A port is taken.
-    #[snafu(display("free the address of {vm}: {source}"))]
+    /// The VM's address could not be bound.
+    #[snafu(display("cannot bind the address of {vm}: {source}"))]
     Bind {
-        /// Whose.
+        /// The name of the VM.
         vm: String,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
-/// One engine VM of this process, alive or dead.
+/// An engine VM of this process, running or stopped.
 #[derive(Debug)]
 pub struct HostedVm {
     address: SocketAddr,
     settings: EngineSettings,
     runs: Arc<RunLog>,
     boot: Boot,
-    alive: Option<Alive>,
+    running: Option<RunningVm>,
 }
 
 #[derive(Debug)]
-struct Alive {
+struct RunningVm {
     vm: Arc<EngineVm>,
     server: Server,
     tasks: Vec<Task<()>>,
@@ -56,12 +56,12 @@
 }
 
 impl EngineFleet {
-    /// A fleet without VMs.
+    /// Creates an empty fleet.
     pub fn new() -> Self {
         Self { directory: Arc::new(Directory::new()), vms: Mutex::default() }
     }
 
-    /// Starts a VM; where it listens.
+    /// Starts a VM and returns its address.
     pub async fn start(
         &self,
         name: &str,
@@ -70,14 +70,14 @@
     ) -> Result<SocketAddr, FleetError> {
         let boot = Boot::new(unix_us());
         let runs = Arc::default();
-        let mut hosted = HostedVm { address, settings, runs, boot, alive: None };
+        let mut hosted = HostedVm { address, settings, runs, boot, running: None };
         self.boot(name, &mut hosted).await?;
         let address = hosted.address;
         self.vms.lock().await.insert(name.to_owned(), hosted);
         Ok(address)
     }
 
-    /// Does something to one VM.
+    /// Injects a fault into a VM.
     pub async fn set_fault(&self, name: &str, fault: EngineFault) -> Result<(), FleetError> {
         let mut vms = self.vms.lock().await;
         let hosted = vms.get_mut(name).context(UnknownVmSnafu { vm: name })?;
@@ -88,15 +88,15 @@
                 self.boot(name, hosted).await?;
             }
             EngineFault::Set(faults) => {
-                if let Some(alive) = &hosted.alive {
-                    alive.vm.set_faults(faults);
+                if let Some(running) = &hosted.running {
+                    running.vm.set_faults(faults);
                 }
             }
         }
         Ok(())
     }
 
-    /// What each VM ran, by its name, restarts included.
+    /// Returns the run log of each VM by name. The logs include runs before a restart.
     pub async fn runs(&self) -> BTreeMap<String, Arc<RunLog>> {
         let vms = self.vms.lock().await;
         vms.iter().map(|(name, hosted)| (name.clone(), hosted.runs.clone())).collect()
@@ -114,24 +114,24 @@
         let bound = Server::bind(hosted.address, vm.clone()).await;
         let server = bound.context(BindSnafu { vm: name })?;
         hosted.address = server.address();
-        self.directory.set(hosted.address, Arc::downgrade(&vm));
+        self.directory.register(hosted.address, Arc::downgrade(&vm));
         let tasks = vec![
             smol::spawn(vm.clone().run_batch()),
-            smol::spawn(vm.clone().run_reports()),
+            smol::spawn(vm.clone().run_load_refresh()),
             smol::spawn(vm.clone().run_member()),
         ];
-        hosted.alive = Some(Alive { vm, server, tasks });
+        hosted.running = Some(RunningVm { vm, server, tasks });
         Ok(())
     }
 
     async fn kill(&self, hosted: &mut HostedVm) {
-        let Some(alive) = hosted.alive.take() else { return };
-        self.directory.set(hosted.address, Weak::new());
-        for task in alive.tasks {
+        let Some(running) = hosted.running.take() else { return };
+        self.directory.register(hosted.address, Weak::new());
+        for task in running.tasks {
             task.cancel().await;
         }
-        alive.server.cut().await;
-        alive.vm.break_all();
+        running.server.cut().await;
+        running.vm.abort_all();
     }
 }
 
--- a/crates/stand-ins/src/engine/formation.rs
+++ b/crates/stand-ins/src/engine/formation.rs
@@ -4,74 +4,74 @@
 use celeryhaven_types::{Boot, Formation, Generation, ModelName, ModelVersion, ReplicaName};
 
 data! {
-    /// What a member tells the other members (`GET /member`).
+    /// The state that a member reports to its peers (`GET /member`).
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct MemberView {
-        /// Which start of its engine.
+        /// The boot of its engine.
         pub boot: Boot,
-        /// The formation it was ordered into.
+        /// The replica and generation that the member has been ordered to join.
         pub formation: Option<(ReplicaName, Generation)>,
-        /// Whether its weights are loaded.
+        /// Whether its weights are fully loaded.
         pub loaded: bool,
-        /// Whether it found the formation broken.
+        /// Whether it has detected a failure of the formation.
         pub broken: bool,
     }
 }
 
 state! {
-    /// A formation that a member was ordered into.
+    /// A formation that a member has been ordered to join.
     pub struct JoinedFormation {
-        /// The replica.
+        /// The name of the replica.
         pub replica: ReplicaName,
-        /// Which formation of it.
+        /// The generation of the replica.
         pub generation: Generation,
-        /// This member's rank.
+        /// The rank of this member.
         pub rank: u32,
-        /// Addresses of all members in rank order.
+        /// The addresses of all members, in rank order.
         pub members: Vec<SocketAddr>,
-        /// The model.
+        /// The name of the model.
         pub model: ModelName,
-        /// The version.
+        /// The version of the model.
         pub version: ModelVersion,
-        /// Boots of all members when they joined; empty until then.
+        /// The boots of all members at the time of joining, or empty before that.
         pub member_boots: Vec<Boot>,
-        /// Whether a member was lost since; only a new join mends it.
+        /// Whether a member has been lost since. Only another join order recovers from this.
         pub broken: bool,
-        /// Whether it takes no new requests.
+        /// Whether new requests are rejected.
         pub draining: bool,
     }
 }
 
 impl JoinedFormation {
-    /// Whether every member joined and none was lost since.
+    /// Whether all members have joined and none has been lost since.
     pub fn ready(&self) -> bool {
         !self.broken && !self.member_boots.is_empty()
     }
 
-    /// Takes in what all members say, in rank order; `None` for one that does not answer.
+    /// Applies the reported states of all members, in rank order. `None` is an unanswered query.
     ///
-    /// Returns whether a formation that was ready broke.
+    /// Returns whether a formation that was ready has failed.
     pub fn observe(&mut self, views: &[Option<MemberView>]) -> bool {
-        let own = (self.replica.clone(), self.generation);
-        let whole = |view: &Option<MemberView>| {
+        let expected = (self.replica.clone(), self.generation);
+        let has_joined = |view: &Option<MemberView>| {
             view.as_ref().is_some_and(|view| {
-                view.formation.as_ref() == Some(&own) && view.loaded && !view.broken
+                view.formation.as_ref() == Some(&expected) && view.loaded && !view.broken
             })
         };
         let boots = views.iter().flatten().map(|view| view.boot).collect::<Vec<_>>();
-        let agree = views.iter().all(whole);
+        let all_joined = views.iter().all(has_joined);
         if !self.ready() {
-            if agree && !self.broken {
+            if all_joined && !self.broken {
                 self.member_boots = boots;
             }
             return false;
         }
-        self.broken = !agree || boots != self.member_boots;
+        self.broken = !all_joined || boots != self.member_boots;
         self.broken
     }
 
-    /// As a report shows it.
+    /// Converts the formation to its form in member reports.
     pub fn report(&self) -> Formation {
         Formation {
             replica: self.replica.clone(),
--- a/crates/stand-ins/src/engine/frames.rs
+++ b/crates/stand-ins/src/engine/frames.rs
@@ -2,10 +2,10 @@
 
 use crate::engine::Completion;
 
-/// The last event of a whole stream.
-pub(crate) const DONE: &str = "data: [DONE]\n\n";
+/// The event that terminates a complete stream.
+pub(crate) const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// One token as a server-sent event.
+/// Formats a token as a server-sent event.
 pub(crate) fn token_event(
     id: &str,
     completion: &Completion,
@@ -25,8 +25,8 @@
     format!("data: {event}\n\n")
 }
 
-/// A whole answer.
-pub(crate) fn whole_answer(id: &str, completion: &Completion, text: &str) -> Value {
+/// Builds the body of a non-streamed answer.
+pub(crate) fn answer_body(id: &str, completion: &Completion, text: &str) -> Value {
     let choice = match completion.chat {
         true => json!({
             "index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "length",
--- a/crates/stand-ins/src/engine/mod.rs
+++ b/crates/stand-ins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of model engines: one process hosts many VMs, each with its own port.
+//! Stand-in for model engines: one process hosts many VMs, each with its own port.
 
 mod batch;
 mod cache;
--- a/crates/stand-ins/src/engine/orders.rs
+++ b/crates/stand-ins/src/engine/orders.rs
@@ -4,13 +4,13 @@
 use crate::engine::vm_state::{VmState, Weights};
 
 impl VmState {
-    /// Carries an order out; the newest fencing number seen if the order's is older and checked.
-    pub(crate) fn order(&mut self, order: Order, checks_fences: bool) -> Result<(), Fence> {
+    /// Executes an order. Returns the highest fencing number seen if the order's is stale.
+    pub(crate) fn execute_order(&mut self, order: Order, checks_fences: bool) -> Result<(), Fence> {
         if checks_fences && order.fence < self.fence {
             return Err(self.fence);
         }
         self.fence = self.fence.max(order.fence);
-        if !self.orders_done.insert(order.order_id) {
+        if !self.executed_orders.insert(order.order_id) {
             return Ok(());
         }
         match order.kind {
@@ -49,16 +49,16 @@
             return;
         };
         let same = self.formation.as_ref().is_some_and(|joined| {
-            let place = (&joined.replica, joined.generation, joined.rank, &joined.members);
-            place == (&replica, generation, rank, &members) && !joined.broken
+            let assignment = (&joined.replica, joined.generation, joined.rank, &joined.members);
+            assignment == (&replica, generation, rank, &members) && !joined.broken
         });
         if same {
             return;
         }
         self.leave();
-        let held =
-            self.weights.take().filter(|held| held.model == model && held.version == version);
-        self.weights = Some(held.unwrap_or(Weights {
+        let loaded =
+            self.weights.take().filter(|loaded| loaded.model == model && loaded.version == version);
+        self.weights = Some(loaded.unwrap_or(Weights {
             model: model.clone(),
             version: version.clone(),
             bytes: weights_bytes,
@@ -80,7 +80,7 @@
     }
 
     fn leave(&mut self) {
-        self.batch.break_all();
+        self.batch.abort_all();
         self.formation = None;
     }
 
--- a/crates/stand-ins/src/engine/runs.rs
+++ b/crates/stand-ins/src/engine/runs.rs
@@ -2,51 +2,51 @@
 
 use celeryhaven_derives::data;
 
-/// Runs kept; older ones are forgotten.
+/// Maximum number of recorded runs. Later runs are not recorded.
 const RUNS_KEPT_MAX: usize = 200_000;
 
 data! {
-    /// What became of a run.
+    /// The outcome of a run.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum RunOutcome {
-        /// It goes on.
+        /// The run is in progress.
         Running,
-        /// The whole answer was produced.
+        /// All tokens were generated.
         Finished,
-        /// It was cancelled, or its caller went away.
+        /// The run was cancelled, or its caller disconnected.
         Cancelled,
-        /// The formation broke or the VM died.
+        /// The formation failed or the VM stopped.
         Broken,
     }
 
-    /// One request that got a slot, with the tokens it produced.
+    /// A request that was assigned a slot, and the number of tokens generated for it.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct EngineRun {
-        /// The `x-request-id` it came with.
+        /// The `x-request-id` header of the request.
         pub request_id: String,
-        /// The replica it ran on.
+        /// The name of the replica that ran the request.
         pub replica: String,
         /// The prompt.
         pub prompt: String,
-        /// When it got a slot, in microseconds since the Unix epoch.
+        /// When the request was assigned a slot, in microseconds since the Unix epoch.
         pub at_unix_us: u64,
-        /// Tokens produced.
+        /// The number of generated tokens.
         pub tokens: u32,
-        /// What became of it.
+        /// The outcome of the run.
         pub outcome: RunOutcome,
     }
 }
 
-/// What a VM ran; it outlives the VM's restarts, as a test's notes do.
+/// The runs of a VM. The log is retained when the VM restarts.
 #[derive(Debug, Default)]
 pub struct RunLog {
     runs: Mutex<Vec<EngineRun>>,
 }
 
 impl RunLog {
-    /// Everything that ran, in order.
+    /// Returns all recorded runs in start order.
     pub fn runs(&self) -> Vec<EngineRun> {
         self.lock().clone()
     }
@@ -60,9 +60,9 @@
         Some(runs.len() - 1)
     }
 
-    pub(crate) fn end(&self, number: Option<usize>, tokens: u32, outcome: RunOutcome) {
+    pub(crate) fn complete(&self, index: Option<usize>, tokens: u32, outcome: RunOutcome) {
         let mut runs = self.lock();
-        if let Some(run) = number.and_then(|number| runs.get_mut(number)) {
+        if let Some(run) = index.and_then(|index| runs.get_mut(index)) {
             run.tokens = tokens;
             run.outcome = outcome;
         }
--- a/crates/stand-ins/src/engine/settings.rs
+++ b/crates/stand-ins/src/engine/settings.rs
@@ -1,42 +1,42 @@
 use std::net::SocketAddr;
 
-/// How an engine behaves.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Requests that run side by side.
+    /// The maximum number of concurrently running requests.
     pub slots: usize,
-    /// Requests that wait inside; more are not admitted.
+    /// The maximum number of waiting requests. Further requests are not admitted.
     pub waiting_max: usize,
-    /// Time to prefill one prompt token, in microseconds.
+    /// Prefill time per prompt token, in microseconds.
     pub prefill_us_per_token: u64,
-    /// Prompt tokens prefilled in one step at most.
+    /// The maximum number of prompt tokens prefilled in a step.
     pub prefill_tokens_per_step: u64,
-    /// Time of one decoding step, in microseconds.
+    /// Base duration of a decoding step, in microseconds.
     pub decode_us: u64,
-    /// What each running request adds to a step, in microseconds.
+    /// Duration added to a step by each running request, in microseconds.
     pub decode_us_per_request: u64,
-    /// Tokens that the KV cache of a replica holds.
+    /// The capacity of a replica's KV cache, in tokens.
     pub kv_tokens_max: u64,
-    /// Blocks that the prefix cache keeps.
+    /// The capacity of the prefix cache, in blocks.
     pub cache_blocks_max: usize,
-    /// Age that load figures reach before they are renewed, in milliseconds.
+    /// The interval at which reported load figures are refreshed, in milliseconds.
     pub report_lag_ms: u64,
-    /// How late cache events are published, in milliseconds.
+    /// The publication delay of cache events, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// Every so many cache events one is never published; zero publishes all.
+    /// Drops one of this many cache events. Zero drops none.
     pub cache_event_gap_every: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether orders with a stale fencing number are rejected.
     pub checks_fences: bool,
-    /// Where weights come from; `None` loads at once.
+    /// The address of the weights store. With `None`, weights load at once.
     pub weights: Option<SocketAddr>,
-    /// Pieces in which weights are read.
+    /// The number of pieces in which weights are read.
     pub weights_pieces: u64,
-    /// How often members look at one another, in milliseconds.
+    /// The interval at which members poll one another, in milliseconds.
     pub member_poll_ms: u64,
 }
 
 impl EngineSettings {
-    /// An engine that checks fencing numbers, without a weights store.
+    /// Creates settings with fencing checks and without a weights store.
     pub fn new() -> Self {
         Self {
             slots: 8,
@@ -57,25 +57,25 @@
         }
     }
 
-    /// Reads weights from a store.
+    /// Sets the address of the weights store.
     pub fn with_weights(mut self, weights: SocketAddr) -> Self {
         self.weights = Some(weights);
         self
     }
 
-    /// Carries out orders with old fencing numbers.
+    /// Disables the check of fencing numbers.
     pub fn with_fences_ignored(mut self) -> Self {
         self.checks_fences = false;
         self
     }
 
-    /// Sets how many requests run side by side.
+    /// Sets the maximum number of concurrently running requests.
     pub fn with_slots(mut self, slots: usize) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets the time of one decoding step.
+    /// Sets the base duration of a decoding step, in microseconds.
     pub fn with_decode_us(mut self, decode_us: u64) -> Self {
         self.decode_us = decode_us;
         self
--- a/crates/stand-ins/src/engine/text.rs
+++ b/crates/stand-ins/src/engine/text.rs
@@ -1,12 +1,12 @@
 use std::ops::Range;
 
-/// Bytes of prompt text in one block of the prefix cache.
+/// The size of a prefix cache block, in bytes of prompt text.
 const BLOCK_BYTES: usize = 256;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The token with this index of the answer to a prompt: the same on every engine and run.
+/// Returns the token at an index of the answer to a prompt. It is the same on every engine and run.
 ///
 /// ```
 /// use celeryhaven_stand_ins::engine::token;
@@ -19,14 +19,14 @@
     format!(" {index}:{:08x}", hash >> 32)
 }
 
-/// The text of these tokens of the answer to a prompt.
+/// Returns the text of a range of tokens of the answer to a prompt.
 pub fn expected_text(prompt: &str, indexes: Range<u32>) -> String {
     indexes.map(|index| token(prompt, index)).collect()
 }
 
-/// Hashes of the prompt's leading blocks: FNV-1a over bytes `0..256`, `0..512` and so on.
+/// Returns the hashes of the prompt's leading blocks: FNV-1a over bytes `0..256`, `0..512` etc.
 ///
-/// A rest shorter than a block has no hash.
+/// An incomplete last block has no hash.
 pub fn prefix_hashes(prompt: &str) -> Vec<u64> {
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
     blocks
@@ -37,10 +37,10 @@
         .collect()
 }
 
-/// Tokens of one block.
+/// The size of a prefix cache block, in tokens.
 pub(crate) const BLOCK_TOKENS: u64 = 64;
 
-/// Tokens of a prompt.
+/// Returns the number of tokens of a prompt.
 pub(crate) fn prompt_tokens(prompt: &str) -> u64 {
     prompt.len() as u64 / 4 + 1
 }
--- a/crates/stand-ins/src/engine/vm.rs
+++ b/crates/stand-ins/src/engine/vm.rs
@@ -11,17 +11,17 @@
 use crate::engine::vm_state::VmState;
 use crate::engine::{EngineFaults, EngineSettings, MemberView, RunLog};
 
-/// How often a frozen VM looks whether it may go on, in milliseconds.
+/// Interval at which a frozen VM checks whether it may resume, in milliseconds.
 const FROZEN_POLL_MS: u64 = 20;
 
-/// One engine VM, from one start of its process to its end.
+/// An engine VM, from start to stop of its process.
 #[derive(Debug)]
 pub struct EngineVm {
     name: VmName,
     settings: EngineSettings,
     directory: Arc<Directory>,
     state: Mutex<VmState>,
-    work: (Sender<()>, Receiver<()>),
+    wakeup: (Sender<()>, Receiver<()>),
 }
 
 impl EngineVm {
@@ -33,54 +33,54 @@
         runs: Arc<RunLog>,
     ) -> Self {
         let state = Mutex::new(VmState::new(boot, settings.clone(), runs));
-        Self { name, settings, directory, state, work: async_channel::bounded(1) }
+        Self { name, settings, directory, state, wakeup: async_channel::bounded(1) }
     }
 
-    /// Switches faults on and off.
+    /// Replaces the set of active faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.lock().faults = faults;
         self.wake();
     }
 
-    /// Ends every request as the death of the VM does.
-    pub(crate) fn break_all(&self) {
-        self.lock().batch.break_all();
+    /// Aborts all requests, as a stop of the VM does.
+    pub(crate) fn abort_all(&self) {
+        self.lock().batch.abort_all();
     }
 
-    /// Runs the batch, for as long as the VM lives.
+    /// Runs the batch until the VM stops.
     pub(crate) async fn run_batch(self: Arc<Self>) {
         loop {
-            self.thaw().await;
+            self.wait_while_frozen().await;
             let step = {
                 let mut state = self.lock();
                 state.batch.admit();
-                let slow = match state.faults.slow_permille {
+                let slowdown = match state.faults.slow_permille {
                     0 => 1.0,
                     permille => f64::from(permille) / 1_000.0,
                 };
-                state.batch.step_time().map(|time| time.mul_f64(slow))
+                state.batch.step_time().map(|time| time.mul_f64(slowdown))
             };
             let Some(step) = step else {
-                let _ = self.work.1.recv().await;
+                let _ = self.wakeup.1.recv().await;
                 continue;
             };
             Timer::after(step).await;
-            self.thaw().await;
+            self.wait_while_frozen().await;
             self.lock().batch.step(Instant::now());
         }
     }
 
-    /// Renews the load figures that reports show, for as long as the VM lives.
-    pub(crate) async fn run_reports(self: Arc<Self>) {
-        let lag = Duration::from_millis(self.settings.report_lag_ms.max(1));
+    /// Refreshes the reported load figures until the VM stops.
+    pub(crate) async fn run_load_refresh(self: Arc<Self>) {
+        let interval = Duration::from_millis(self.settings.report_lag_ms.max(1));
         loop {
-            Timer::after(lag).await;
-            self.lock().renew_load(Instant::now(), lag);
+            Timer::after(interval).await;
+            self.lock().refresh_load(Instant::now(), interval);
         }
     }
 
-    /// What the VM says of itself to other members; `None` while it is frozen.
-    pub(crate) fn view(&self) -> Option<MemberView> {
+    /// Returns the state reported to other members, or `None` while the VM is frozen.
+    pub(crate) fn member_view(&self) -> Option<MemberView> {
         let state = self.lock();
         (!state.faults.frozen).then(|| state.member_view())
     }
@@ -103,19 +103,19 @@
         Some(joined.members.clone())
     }
 
-    pub(crate) async fn ask(&self, member: SocketAddr) -> Option<MemberView> {
-        self.directory.ask(member).await
+    pub(crate) async fn fetch_view(&self, member: SocketAddr) -> Option<MemberView> {
+        self.directory.fetch_view(member).await
     }
 
-    pub(crate) fn note_members(&self, views: &[Option<MemberView>]) {
+    pub(crate) fn apply_member_views(&self, views: &[Option<MemberView>]) {
         let mut state = self.lock();
         let Some(joined) = state.formation.as_mut() else { return };
         if joined.members.len() == views.len() && joined.observe(views) {
-            state.batch.break_all();
+            state.batch.abort_all();
         }
     }
 
-    /// The version and length of the next piece of weights to load.
+    /// Returns the version and the length of the next piece of weights to load.
     pub(crate) fn next_piece(&self) -> Option<(ModelVersion, u64)> {
         let state = self.lock();
         let weights = state.weights.as_ref().filter(|_| !state.faults.frozen)?;
@@ -124,9 +124,10 @@
         (left > 0).then(|| (weights.version.clone(), piece.min(left)))
     }
 
-    pub(crate) fn note_piece(&self, version: &ModelVersion, bytes: u64) {
+    pub(crate) fn record_loaded_piece(&self, version: &ModelVersion, bytes: u64) {
         let mut state = self.lock();
-        if let Some(weights) = state.weights.as_mut().filter(|held| held.version == *version) {
+        if let Some(weights) = state.weights.as_mut().filter(|weights| weights.version == *version)
+        {
             weights.loaded_bytes += bytes;
         }
     }
@@ -136,10 +137,10 @@
     }
 
     pub(crate) fn wake(&self) {
-        let _ = self.work.0.try_send(());
+        let _ = self.wakeup.0.try_send(());
     }
 
-    pub(crate) async fn thaw(&self) {
+    pub(crate) async fn wait_while_frozen(&self) {
         while self.lock().faults.frozen {
             Timer::after(Duration::from_millis(FROZEN_POLL_MS)).await;
         }
--- a/crates/stand-ins/src/engine/vm_http.rs
+++ b/crates/stand-ins/src/engine/vm_http.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 use smol::Timer;
 
-use crate::engine::frames::whole_answer;
+use crate::engine::frames::answer_body;
 use crate::engine::{Completion, EngineVm, Sequence, Sink};
 use crate::http::{Answer, Request, Serve, channel_body};
 
@@ -15,63 +15,64 @@
             Err(error) => return Answer::bad_request(error.to_string()),
         };
         let Some(id) = request.header("x-request-id") else {
-            return Answer::bad_request("send x-request-id");
+            return Answer::bad_request("missing header: send x-request-id");
         };
         if let Some(refusal) = self.refusal(request, &completion) {
             return refusal;
         }
         match completion.stream {
             true => self.stream(id, completion),
-            false => self.answer_whole(id, completion).await,
+            false => self.complete_unstreamed(id, completion).await,
         }
     }
 
-    /// The refusal, meaning not run, that a request gets before it is taken in.
+    /// Returns the reason not to admit a request, if there is one. The request has not been run.
     fn refusal(&self, request: &Request, completion: &Completion) -> Option<Answer> {
         let state = self.lock();
         let joined = state.formation.as_ref();
         let Some(joined) = joined.filter(|f| f.rank == 0 && f.ready() && !f.draining) else {
-            return Some(refuse(503, "not_admitted"));
+            return Some(reject(503, "not_admitted"));
         };
         let replica = request.header("x-replica");
         let generation = request.header("x-generation").and_then(|text| text.parse::<u64>().ok());
         let other_replica = replica.is_some_and(|name| name != joined.replica.as_str());
         let other_generation = generation.is_some_and(|number| number != joined.generation.get());
         if other_replica || other_generation {
-            return Some(refuse(409, "wrong_generation"));
+            return Some(reject(409, "wrong_generation"));
         }
-        let known = |name: &String| state.adapters.iter().any(|held| held.as_str() == name);
-        if !completion.adapter.as_ref().is_none_or(known) {
-            return Some(refuse(404, "unknown_adapter"));
+        let is_loaded =
+            |name: &String| state.adapters.iter().any(|adapter| adapter.as_str() == name);
+        if !completion.adapter.as_ref().is_none_or(is_loaded) {
+            return Some(reject(404, "unknown_adapter"));
         }
-        state.faults.refuse.then(|| refuse(503, "not_admitted"))
+        state.faults.refuse.then(|| reject(503, "not_admitted"))
     }
 
     fn stream(&self, id: &str, completion: Completion) -> Answer {
         let (sender, body) = channel_body();
-        match self.take_in(id, completion, Sink::Stream(sender)) {
+        match self.enqueue(id, completion, Sink::Stream(sender)) {
             Err(refusal) => refusal,
-            Ok(echoed) => Answer::new(200, body)
+            Ok(echoed_id) => Answer::new(200, body)
                 .with_header("content-type", "text/event-stream")
-                .with_header("x-request-id", echoed),
+                .with_header("x-request-id", echoed_id),
         }
     }
 
-    async fn answer_whole(&self, id: &str, completion: Completion) -> Answer {
+    async fn complete_unstreamed(&self, id: &str, completion: Completion) -> Answer {
         let (sender, answer) = async_channel::bounded(1);
-        let echoed = match self.take_in(id, completion.clone(), Sink::Whole(sender)) {
+        let echoed_id = match self.enqueue(id, completion.clone(), Sink::Whole(sender)) {
             Err(refusal) => return refusal,
-            Ok(echoed) => echoed,
+            Ok(echoed_id) => echoed_id,
         };
         match answer.recv().await {
-            Ok(text) => Answer::json(200, &whole_answer(&echoed, &completion, &text))
-                .with_header("x-request-id", echoed),
+            Ok(text) => Answer::json(200, &answer_body(&echoed_id, &completion, &text))
+                .with_header("x-request-id", echoed_id),
             Err(_) => Answer::Close,
         }
     }
 
-    /// Takes a request in; the identity that its answer carries.
-    fn take_in(&self, id: &str, completion: Completion, sink: Sink) -> Result<String, Answer> {
+    /// Queues a request and returns the request ID for its answer.
+    fn enqueue(&self, id: &str, completion: Completion, sink: Sink) -> Result<String, Answer> {
         let mut sequence = Sequence::new(id, completion, sink);
         let mut state = self.lock();
         let faults = &mut state.faults;
@@ -83,19 +84,19 @@
             faults.cut_streams -= 1;
             sequence.cut_after_tokens = Some(faults.cut_after_tokens);
         }
-        let echoed = sequence.echoed_id.clone();
+        let echoed_id = sequence.echoed_id.clone();
         if !state.batch.push(sequence) {
-            return Err(refuse(503, "not_admitted"));
+            return Err(reject(503, "not_admitted"));
         }
         drop(state);
         self.wake();
-        Ok(echoed)
+        Ok(echoed_id)
     }
 
     fn cancel(&self, request: &Request) -> Answer {
         let body = request.json::<Value>().unwrap_or(Value::Null);
         match body["id"].as_str() {
-            None => Answer::bad_request("send the id of the request to cancel"),
+            None => Answer::bad_request("missing id: send the ID of the request to cancel"),
             Some(id) => {
                 let cancelled = self.lock().batch.cancel(id);
                 Answer::json(200, &json!({"cancelled": cancelled}))
@@ -103,14 +104,14 @@
         }
     }
 
-    async fn order(&self, request: &Request) -> Answer {
+    async fn handle_order(&self, request: &Request) -> Answer {
         let order = match request.json::<Order>() {
             Ok(order) => order,
             Err(error) => return Answer::bad_request(error.to_string()),
         };
         let delay_ms = self.lock().faults.delay_orders_ms;
         Timer::after(Duration::from_millis(delay_ms)).await;
-        match self.lock().order(order, self.settings().checks_fences) {
+        match self.lock().execute_order(order, self.settings().checks_fences) {
             Ok(()) => Answer::json(200, &json!({"accepted": true})),
             Err(seen) => Answer::json(409, &json!({"error": {"code": "old_fence", "seen": seen}})),
         }
@@ -118,11 +119,11 @@
 
     fn cache_events(&self, request: &Request) -> Answer {
         let from = request.query_number("from").unwrap_or(0);
-        let (next, events) = self.lock().batch.events().from(from, Instant::now());
+        let (next, events) = self.lock().batch.events().published_from(from, Instant::now());
         Answer::json(200, &json!({"next": next, "events": events}))
     }
 
-    fn move_kv(&self, request: &Request, import: bool) -> Answer {
+    fn transfer_kv(&self, request: &Request, import: bool) -> Answer {
         let body = request.json::<Value>().unwrap_or(Value::Null);
         let blocks = body["blocks"].as_array().into_iter().flatten();
         let blocks = blocks.filter_map(Value::as_u64).collect::<Vec<_>>();
@@ -131,13 +132,13 @@
             state.batch.import(&blocks, Instant::now());
             return Answer::json(200, &json!({"blocks": blocks}));
         }
-        Answer::json(200, &json!({"blocks": state.batch.cache().those_held(&blocks)}))
+        Answer::json(200, &json!({"blocks": state.batch.cache().cached_blocks(&blocks)}))
     }
 }
 
 impl Serve for EngineVm {
     async fn serve(&self, request: Request) -> Answer {
-        self.thaw().await;
+        self.wait_while_frozen().await;
         let delay_ms = self.lock().faults.delay_ms;
         if delay_ms > 0 {
             Timer::after(Duration::from_millis(delay_ms)).await;
@@ -150,14 +151,14 @@
             }
             ("GET", "/member") => Answer::json(200, &self.lock().member_view()),
             ("GET", "/cache-events") => self.cache_events(&request),
-            ("POST", "/orders") => self.order(&request).await,
-            ("POST", "/kv/export") => self.move_kv(&request, false),
-            ("POST", "/kv/import") => self.move_kv(&request, true),
+            ("POST", "/orders") => self.handle_order(&request).await,
+            ("POST", "/kv/export") => self.transfer_kv(&request, false),
+            ("POST", "/kv/import") => self.transfer_kv(&request, true),
             _ => Answer::json(404, &json!({"error": {"code": "unknown_path"}})),
         }
     }
 }
 
-fn refuse(status: u16, code: &str) -> Answer {
+fn reject(status: u16, code: &str) -> Answer {
     Answer::json(status, &json!({"error": {"code": code}}))
 }
--- a/crates/stand-ins/src/engine/vm_state.rs
+++ b/crates/stand-ins/src/engine/vm_state.rs
@@ -7,7 +7,7 @@
 
 use crate::engine::{Batch, EngineFaults, EngineSettings, JoinedFormation, MemberView, RunLog};
 
-/// Weights that a VM holds or loads.
+/// The weights that a VM loads or has loaded.
 #[derive(Clone, Debug)]
 pub(crate) struct Weights {
     pub(crate) model: ModelName,
@@ -16,10 +16,10 @@
     pub(crate) loaded_bytes: u64,
 }
 
-/// Load figures as last renewed.
+/// The load figures of the last refresh.
 #[derive(Clone, Copy, Debug)]
 struct LoadFigures {
-    taken: Instant,
+    refreshed_at: Instant,
     running: u32,
     waiting: u32,
     prefill_tokens: u64,
@@ -27,12 +27,12 @@
     tokens_generated: u64,
 }
 
-/// The memory of one engine VM; lost with its process.
+/// The in-memory state of an engine VM. It is lost when the VM stops.
 #[derive(Debug)]
 pub(crate) struct VmState {
     pub(crate) boot: Boot,
     pub(crate) fence: Fence,
-    pub(crate) orders_done: Set<u64>,
+    pub(crate) executed_orders: Set<u64>,
     pub(crate) formation: Option<JoinedFormation>,
     pub(crate) weights: Option<Weights>,
     pub(crate) adapters: Vec<AdapterName>,
@@ -47,17 +47,17 @@
         Self {
             boot,
             fence: Fence::new(0),
-            orders_done: Set::default(),
+            executed_orders: Set::default(),
             formation: None,
             weights: None,
             adapters: Vec::new(),
-            load: LoadFigures::take(&batch, Instant::now()),
+            load: LoadFigures::measure(&batch, Instant::now()),
             batch,
             faults: EngineFaults::default(),
         }
     }
 
-    /// Whether all bytes of the weights it was ordered to hold are here.
+    /// Whether the assigned weights are fully loaded.
     pub(crate) fn loaded(&self) -> bool {
         self.weights.as_ref().is_some_and(|weights| weights.loaded_bytes >= weights.bytes)
     }
@@ -84,24 +84,24 @@
             prefill_tokens_queued: load.prefill_tokens,
             kv_used_permille: load.kv_used_permille,
             tokens_generated: load.tokens_generated,
-            load_age_ms: now.saturating_duration_since(load.taken).as_millis() as u64,
+            load_age_ms: now.saturating_duration_since(load.refreshed_at).as_millis() as u64,
             adapters_loaded: self.adapters.clone(),
             weights_loaded_bytes: self.weights.as_ref().map_or(0, |weights| weights.loaded_bytes),
         }
     }
 
-    /// Renews the load figures that reports show if they are older than the lag.
-    pub(crate) fn renew_load(&mut self, now: Instant, lag: Duration) {
-        if now.saturating_duration_since(self.load.taken) >= lag {
-            self.load = LoadFigures::take(&self.batch, now);
+    /// Refreshes the reported load figures if they are older than `lag`.
+    pub(crate) fn refresh_load(&mut self, now: Instant, lag: Duration) {
+        if now.saturating_duration_since(self.load.refreshed_at) >= lag {
+            self.load = LoadFigures::measure(&self.batch, now);
         }
     }
 }
 
 impl LoadFigures {
-    fn take(batch: &Batch, now: Instant) -> Self {
+    fn measure(batch: &Batch, now: Instant) -> Self {
         Self {
-            taken: now,
+            refreshed_at: now,
             running: batch.running() as u32,
             waiting: batch.waiting() as u32,
             prefill_tokens: batch.prefill_tokens(),
--- a/crates/stand-ins/src/http/answer.rs
+++ b/crates/stand-ins/src/http/answer.rs
@@ -1,29 +1,29 @@
 use serde::Serialize;
 use trillium_http::Body;
 
-/// What a stand-in does with a request.
+/// The response to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// Sends an answer.
+    /// Sends a response.
     Reply {
         /// The HTTP status.
         status: u16,
-        /// Headers besides the framing ones.
+        /// Headers other than those for framing.
         headers: Vec<(&'static str, String)>,
         /// The body.
         body: Body,
     },
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
 }
 
 impl Answer {
-    /// An answer of this status with a body, without headers.
+    /// Creates a response with a status and a body.
     pub fn new(status: u16, body: impl Into<Body>) -> Self {
         Self::Reply { status, headers: Vec::new(), body: body.into() }
     }
 
-    /// An answer of this status with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, value: &impl Serialize) -> Self {
         match serde_json::to_string(value) {
             Ok(text) => Self::new(status, text).with_header("content-type", "application/json"),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// An answer of status 400 that says what is wrong with the request.
+    /// Creates a response with status 400 and an error message.
     pub fn bad_request(message: impl Into<String>) -> Self {
         Self::json(400, &serde_json::json!({"error": {"message": message.into()}}))
     }
--- a/crates/stand-ins/src/http/channel_body.rs
+++ b/crates/stand-ins/src/http/channel_body.rs
@@ -7,22 +7,21 @@
 use smol::stream::Stream;
 use trillium_http::Body;
 
-/// Sends the pieces of a streamed body; closed when the caller has gone away.
+/// Sends the chunks of a streamed body. The channel is closed when the caller disconnects.
 pub type BodySender = Sender<io::Result<Vec<u8>>>;
 
-/// A body that is sent piece by piece; an error piece breaks the connection.
+/// Creates a body that is sent in chunks. An error chunk aborts the connection.
 ///
-/// The channel has no bound of its own: a slow reader must not slow the batch down, and an answer
-/// is short.
+/// The channel is unbounded, so that a slow reader does not delay the batch.
 pub fn channel_body() -> (BodySender, Body) {
     let (sender, receiver) = async_channel::unbounded();
-    let reader = ChannelReader { pieces: Box::pin(receiver), piece: Vec::new(), read: 0 };
+    let reader = ChannelReader { chunks: Box::pin(receiver), chunk: Vec::new(), read: 0 };
     (sender, Body::new_streaming(reader, None))
 }
 
 struct ChannelReader {
-    pieces: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
-    piece: Vec<u8>,
+    chunks: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
+    chunk: Vec<u8>,
     read: usize,
 }
 
@@ -32,19 +31,19 @@
         cx: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        while self.read == self.piece.len() {
-            match ready!(self.pieces.as_mut().poll_next(cx)) {
+        while self.read == self.chunk.len() {
+            match ready!(self.chunks.as_mut().poll_next(cx)) {
                 None => return Poll::Ready(Ok(0)),
                 Some(Err(error)) => return Poll::Ready(Err(error)),
-                Some(Ok(piece)) => {
-                    self.piece = piece;
+                Some(Ok(chunk)) => {
+                    self.chunk = chunk;
                     self.read = 0;
                 }
             }
         }
-        let rest = &self.piece[self.read..];
-        let length = rest.len().min(buffer.len());
-        buffer[..length].copy_from_slice(&rest[..length]);
+        let remaining = &self.chunk[self.read..];
+        let length = remaining.len().min(buffer.len());
+        buffer[..length].copy_from_slice(&remaining[..length]);
         self.read += length;
         Poll::Ready(Ok(length))
     }
--- a/crates/stand-ins/src/http/mod.rs
+++ b/crates/stand-ins/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose connections can be cut at any moment, for faults.
+//! A small HTTP server that can drop its connections at any time, for fault injection.
 
 mod answer;
 mod channel_body;
--- a/crates/stand-ins/src/http/request.rs
+++ b/crates/stand-ins/src/http/request.rs
@@ -4,12 +4,12 @@
 use smol::net::TcpStream;
 use trillium_http::Conn;
 
-/// A request that was read whole.
+/// A received request with its complete body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The method, in capitals.
+    /// The method, in upper case.
     pub method: String,
-    /// The path, decoded, without the query.
+    /// The percent-decoded path, without the query.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
@@ -18,7 +18,7 @@
 }
 
 impl Request {
-    /// Reads a request from a connection; `None` if its body breaks off or is too long.
+    /// Reads a request. Returns `None` if its body is truncated or too long.
     pub(crate) async fn read(conn: &mut Conn<TcpStream>) -> Option<Self> {
         let query = form_urlencoded::parse(conn.querystring().as_bytes()).into_owned().collect();
         let headers = conn
@@ -34,22 +34,22 @@
         Some(Self { method, path, body, query, headers })
     }
 
-    /// A header by its lowercase name.
+    /// Returns a header by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
-    /// A query parameter.
+    /// Returns a query parameter.
     pub fn query(&self, name: &str) -> Option<&str> {
         self.query.get(name).map(String::as_str)
     }
 
-    /// A query parameter as a number.
+    /// Returns a query parameter as a number.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         self.query(name)?.parse().ok()
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
--- a/crates/stand-ins/src/http/serve.rs
+++ b/crates/stand-ins/src/http/serve.rs
@@ -2,8 +2,8 @@
 
 use crate::http::{Answer, Request};
 
-/// Answers requests.
+/// A handler of HTTP requests.
 pub trait Serve: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles a request.
     fn serve(&self, request: Request) -> impl Future<Output = Answer> + Send;
 }
--- a/crates/stand-ins/src/http/server.rs
+++ b/crates/stand-ins/src/http/server.rs
@@ -10,7 +10,7 @@
 
 type Connections = Arc<Mutex<Vec<Task<()>>>>;
 
-/// A listening HTTP server; dropping it cuts every connection, as the death of a VM does.
+/// A listening HTTP server. Dropping it drops all its connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -19,7 +19,7 @@
 }
 
 impl Server {
-    /// Listens on an address; port 0 takes a free one.
+    /// Binds an address and starts to accept connections. Port 0 selects a free port.
     pub async fn bind<S: Serve>(address: SocketAddr, service: Arc<S>) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -28,12 +28,12 @@
         Ok(Self { address, accepting, connections })
     }
 
-    /// Where it listens.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the port and cuts every connection, and returns when that is done.
+    /// Closes the port and all connections, and waits until that is complete.
     pub async fn cut(self) {
         self.accepting.cancel().await;
         let tasks = lock(&self.connections).drain(..).collect::<Vec<_>>();
@@ -51,15 +51,15 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let task = smol::spawn(converse(context.clone(), stream, service.clone()));
+        let task = smol::spawn(serve_connection(context.clone(), stream, service.clone()));
         let mut running = lock(&connections);
-        let kept = mem::take(&mut *running).into_iter().filter(|task| !task.is_finished());
-        *running = kept.chain([task]).collect();
+        let unfinished = mem::take(&mut *running).into_iter().filter(|task| !task.is_finished());
+        *running = unfinished.chain([task]).collect();
     }
 }
 
-/// Serves one connection until its peer, or an answer of [`Answer::Close`], ends it.
-async fn converse<S: Serve>(context: Arc<HttpContext>, stream: TcpStream, service: Arc<S>) {
+/// Serves a connection until the peer closes it or the answer is [`Answer::Close`].
+async fn serve_connection<S: Serve>(context: Arc<HttpContext>, stream: TcpStream, service: Arc<S>) {
     let (close, closed) = async_channel::bounded::<()>(1);
     let handler = |conn| handle(conn, service.clone(), close.clone());
     let serving = async {
@@ -77,7 +77,7 @@
     close: async_channel::Sender<()>,
 ) -> Conn<TcpStream> {
     let answer = match Request::read(&mut conn).await {
-        // A caller that goes away ends the work on its request, as engines do.
+        // Cancels the handler when the caller disconnects, as engines do.
         Some(request) => {
             conn.cancel_on_disconnect(service.serve(request)).await.unwrap_or(Answer::Close)
         }
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,19 +1,19 @@
-//! Small stand-ins of the platform, engines and services, for tests and the demo.
+//! Stand-ins for the platform, engines and services, for tests and the demo.
 //!
-//! None of this ships: it speaks the published protocols of the outside systems (see
-//! `docs/PROTOCOLS.md`), and its faults are set over its own HTTP.
+//! The stand-ins are not part of a release. They implement the published protocols of the external
+//! systems (see `docs/PROTOCOLS.md`); faults are injected over HTTP.
 //!
-//! | module | stands in for |
+//! | module | contents |
 //! |---|---|
 //! | [`object_api`] | the platform's Object API |
-//! | [`vm_list`] | the platform's list of VMs |
+//! | [`vm_list`] | the platform's VM list |
 //! | [`engine`] | model engines, many VMs in one process |
 //! | [`plain`] | plain services |
-//! | [`weights`] | the rate-limited store of weights |
-//! | [`certificates`] | the operators' authority for certificates |
-//! | [`http`] | a server whose connections can be cut |
-//! | [`caller`] | callers that check what they get |
-//! | [`args`] | command lines of the programs |
+//! | [`weights`] | the rate-limited weights store |
+//! | [`certificates`] | the operators' certificate authority |
+//! | [`http`] | an HTTP server with droppable connections |
+//! | [`caller`] | callers that validate the answers |
+//! | [`args`] | command lines of the stand-in programs |
 
 pub mod args;
 pub mod caller;
--- a/crates/stand-ins/src/object_api/counters.rs
+++ b/crates/stand-ins/src/object_api/counters.rs
@@ -1,29 +1,29 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// Calls since the start, by kind; a waiting watch is one call.
+    /// Calls since the start, by kind. A waiting watch counts as one call.
     #[derive(Copy, Default, Eq)]
     #[serde(default)]
     pub struct Counters {
         /// Reads of one object.
         pub gets: u64,
-        /// Reads of a prefix.
+        /// Lists of a prefix.
         pub lists: u64,
         /// Watches.
         pub watches: u64,
-        /// Watches that wait now.
+        /// Currently waiting watches.
         pub watches_waiting: u64,
         /// Creations and replacements.
         pub puts: u64,
         /// Deletions.
         pub deletes: u64,
-        /// Writes that took effect.
+        /// Successful writes.
         pub writes_done: u64,
-        /// Writes refused because the object was at another version.
+        /// Writes rejected because of a version conflict.
         pub conflicts: u64,
-        /// Calls refused for their rate.
+        /// Calls rejected because of the rate limit.
         pub over_rate: u64,
-        /// Calls cut by a fault.
+        /// Calls whose connection was closed by a fault.
         pub cut: u64,
     }
 }
--- a/crates/stand-ins/src/object_api/faults.rs
+++ b/crates/stand-ins/src/object_api/faults.rs
@@ -1,17 +1,17 @@
 use celeryhaven_derives::data;
 
 data! {
-    /// Faults of the Object API, set by `POST /faults`; fields left out are off.
+    /// Faults of the Object API, set by `POST /faults`. Omitted fields are off.
     #[derive(Copy, Default, Eq)]
     #[serde(default, deny_unknown_fields)]
     pub struct ObjectApiFaults {
-        /// Every call, waiting watches included, loses its connection.
+        /// Closes the connection of every call, including waiting watches.
         pub outage: bool,
-        /// How long every answer takes longer, in milliseconds.
+        /// A delay added to every answer, in milliseconds.
         pub delay_ms: u64,
-        /// How many of the next writes take effect but lose their answer.
+        /// The number of upcoming writes that are applied without an answer.
         pub lose_answer_after_write: u32,
-        /// Reads show the store as it was when this was switched on.
+        /// Serves reads from a snapshot taken when the fault was set.
         pub stale_reads: bool,
     }
 }
--- a/crates/stand-ins/src/object_api/limits.rs
+++ b/crates/stand-ins/src/object_api/limits.rs
@@ -1,11 +1,11 @@
 use std::time::Instant;
 
-/// Calls a second that the store carries out.
+/// Rate limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Reads, lists and watches a second.
+    /// Reads, lists and watches per second.
     pub reads_per_s: u32,
-    /// Writes and deletions a second.
+    /// Writes and deletions per second.
     pub writes_per_s: u32,
 }
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Lets through a rate, and after a rest as much at once as one second holds.
+/// A token bucket with a capacity of one second's tokens.
 #[derive(Debug)]
 pub struct TokenBucket {
     per_s: f64,
@@ -24,12 +24,12 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(per_s: u32, now: Instant) -> Self {
         Self { per_s: f64::from(per_s), tokens: f64::from(per_s), filled: now }
     }
 
-    /// Takes one token; `false` if there is none.
+    /// Takes a token. Returns `false` if there is none.
     pub fn take(&mut self, now: Instant) -> bool {
         let elapsed_s = now.saturating_duration_since(self.filled).as_secs_f64();
         self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.per_s);
--- a/crates/stand-ins/src/object_api/mod.rs
+++ b/crates/stand-ins/src/object_api/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's Object API.
+//! Stand-in for the platform's Object API.
 
 mod counters;
 mod faults;
--- a/crates/stand-ins/src/object_api/objects.rs
+++ b/crates/stand-ins/src/object_api/objects.rs
@@ -3,16 +3,16 @@
 
 use celeryhaven_types::store::{Object, ObjectChange, ObjectKey, ObjectVersion};
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect and made this version.
+    /// The write succeeded and created this version.
     Written(ObjectVersion),
-    /// The object is at this version, or at none (zero), and stays so.
+    /// The write was rejected. The object has this version, or does not exist if zero.
     Conflict(ObjectVersion),
 }
 
-/// Objects with one growing count of versions and a bounded history of changes.
+/// A versioned object store with a bounded change history.
 #[derive(Clone, Debug)]
 pub struct Objects {
     objects: BTreeMap<ObjectKey, Object>,
@@ -22,7 +22,7 @@
 }
 
 impl Objects {
-    /// An empty store that keeps so many changes for watches.
+    /// Creates an empty store that retains up to `history_max` changes.
     pub fn new(history_max: usize) -> Self {
         Self {
             objects: BTreeMap::new(),
@@ -32,17 +32,17 @@
         }
     }
 
-    /// The version of the newest change.
+    /// Returns the version of the latest change.
     pub fn version(&self) -> ObjectVersion {
         self.version
     }
 
-    /// One object.
+    /// Returns an object.
     pub fn get(&self, key: &ObjectKey) -> Option<&Object> {
         self.objects.get(key)
     }
 
-    /// Every object whose name starts with the prefix, by name.
+    /// Returns all objects whose key starts with a prefix, ordered by key.
     pub fn list(&self, prefix: &str) -> Vec<Object> {
         self.objects
             .values()
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    /// Changes after a version, in order; `None` if they are no longer kept.
+    /// Returns the changes after a version, in order, or `None` if they are no longer retained.
     pub fn changes(&self, prefix: &str, from: ObjectVersion) -> Option<Vec<ObjectChange>> {
         let oldest = self.version.get() - self.history.len() as u64;
         if from.get() < oldest {
@@ -61,16 +61,16 @@
         Some(after.filter(|change| change.key.as_str().starts_with(prefix)).cloned().collect())
     }
 
-    /// Writes an object if it is at the expected version; zero expects none.
+    /// Writes or deletes an object if it is at the expected version. Zero expects no object.
     pub fn write(
         &mut self,
         key: ObjectKey,
         expected: ObjectVersion,
         value: Option<Arc<str>>,
     ) -> WriteOutcome {
-        let held = self.objects.get(&key).map_or(ObjectVersion::new(0), |object| object.version);
-        if held != expected {
-            return WriteOutcome::Conflict(held);
+        let current = self.objects.get(&key).map_or(ObjectVersion::new(0), |object| object.version);
+        if current != expected {
+            return WriteOutcome::Conflict(current);
         }
         self.version = self.version.next();
         let version = self.version;
--- a/crates/stand-ins/src/object_api/service.rs
+++ b/crates/stand-ins/src/object_api/service.rs
@@ -9,12 +9,12 @@
 use crate::http::{Answer, Request, Serve};
 use crate::object_api::{Counters, Limits, ObjectApiFaults, Objects, TokenBucket, WriteOutcome};
 
-/// The longest value, in bytes.
+/// Maximum size of a value, in bytes.
 const VALUE_BYTES_MAX: usize = 1 << 20;
-/// The longest that a watch waits, in milliseconds.
+/// Maximum duration of a watch, in milliseconds.
 const WATCH_WAIT_MAX_MS: u64 = 60_000;
 
-/// The Object API over HTTP, with its own faults and counters.
+/// The Object API over HTTP, with fault injection and counters.
 #[derive(Debug)]
 pub struct ObjectApi {
     state: Mutex<State>,
@@ -28,12 +28,12 @@
     counters: Counters,
     reads: TokenBucket,
     writes: TokenBucket,
-    /// Replaced, and so closed, whenever waiting watches must look again.
-    news: (Sender<()>, Receiver<()>),
+    /// Closed and replaced to wake all waiting watches.
+    wakeup: (Sender<()>, Receiver<()>),
 }
 
 impl ObjectApi {
-    /// An empty store that keeps so many changes for watches.
+    /// Creates an empty store that retains up to `history_max` changes for watches.
     pub fn new(limits: Limits, history_max: usize) -> Self {
         let now = Instant::now();
         let state = State {
@@ -43,17 +43,17 @@
             counters: Counters::default(),
             reads: TokenBucket::new(limits.reads_per_s, now),
             writes: TokenBucket::new(limits.writes_per_s, now),
-            news: async_channel::bounded(1),
+            wakeup: async_channel::bounded(1),
         };
         Self { state: Mutex::new(state) }
     }
 
-    /// Calls since the start.
+    /// Returns the number of calls since the start.
     pub fn counters(&self) -> Counters {
         self.lock().counters
     }
 
-    /// Switches faults on and off.
+    /// Replaces the set of active faults.
     pub fn set_faults(&self, faults: ObjectApiFaults) {
         let mut state = self.lock();
         if !faults.stale_reads {
@@ -77,7 +77,7 @@
             None => state.counters.lists += 1,
         }
         if !state.reads.take(Instant::now()) {
-            return state.refuse();
+            return state.reject_over_rate();
         }
         let objects = state.stale.as_ref().unwrap_or(&state.objects);
         let Some(key) = key else {
@@ -99,20 +99,24 @@
             false => state.counters.puts += 1,
         }
         let Some(key) = request.path.strip_prefix("/objects/").map(ObjectKey::new) else {
-            return Answer::bad_request("name an object: /objects/KEY");
+            return Answer::bad_request("invalid path: expected /objects/KEY");
         };
         let Some(expected) = expected_version(request) else {
-            return Answer::bad_request("send if-match: VERSION or if-none-match: *");
+            return Answer::bad_request(
+                "missing precondition: send if-match: VERSION or if-none-match: *",
+            );
         };
         let value = match delete {
             true => None,
-            false => match checked_value(&request.body) {
+            false => match parse_value(&request.body) {
                 Some(value) => Some(value),
-                None => return Answer::bad_request("send JSON of at most 1 MiB"),
+                None => {
+                    return Answer::bad_request("invalid value: expected JSON of at most 1 MiB");
+                }
             },
         };
         if !state.writes.take(Instant::now()) {
-            return state.refuse();
+            return state.reject_over_rate();
         }
         state.write(key, expected, value)
     }
@@ -122,7 +126,7 @@
             let mut state = self.lock();
             state.counters.watches += 1;
             if !state.reads.take(Instant::now()) {
-                return state.refuse();
+                return state.reject_over_rate();
             }
             state.counters.watches_waiting += 1;
         }
@@ -134,9 +138,9 @@
         let prefix = request.query("prefix").unwrap_or("");
         let from = ObjectVersion::new(request.query_number("from").unwrap_or(0));
         let wait_ms = request.query_number("wait_ms").unwrap_or(0).min(WATCH_WAIT_MAX_MS);
-        let until = Instant::now() + Duration::from_millis(wait_ms);
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
         loop {
-            let news = {
+            let wakeup = {
                 let mut state = self.lock();
                 if state.faults.outage {
                     state.counters.cut += 1;
@@ -145,26 +149,26 @@
                 let objects = state.stale.as_ref().unwrap_or(&state.objects);
                 match objects.changes(prefix, from) {
                     None => return Answer::json(410, &json!({"error": {"code": "too_old"}})),
-                    Some(changes) if !changes.is_empty() || Instant::now() >= until => {
+                    Some(changes) if !changes.is_empty() || Instant::now() >= deadline => {
                         let events = changes.iter().map(change_json).collect::<Vec<_>>();
                         let version = objects.version();
                         return Answer::json(200, &json!({"version": version, "events": events}));
                     }
-                    Some(_) => state.news.1.clone(),
+                    Some(_) => state.wakeup.1.clone(),
                 }
             };
             let closed = async {
-                let _ = news.recv().await;
+                let _ = wakeup.recv().await;
             };
-            let late = async {
-                Timer::at(until).await;
+            let timeout = async {
+                Timer::at(deadline).await;
             };
-            smol::future::or(closed, late).await;
+            smol::future::or(closed, timeout).await;
         }
     }
 }
 
-/// Counts a watch as waiting until it is answered or its caller goes away.
+/// Counts a watch as waiting until it is answered or its caller disconnects.
 struct WaitingWatch<'a> {
     api: &'a ObjectApi,
 }
@@ -200,7 +204,7 @@
 }
 
 impl State {
-    fn refuse(&mut self) -> Answer {
+    fn reject_over_rate(&mut self) -> Answer {
         self.counters.over_rate += 1;
         Answer::json(429, &json!({"error": {"code": "over_rate"}}))
     }
@@ -230,8 +234,8 @@
     }
 
     fn wake_watches(&mut self) {
-        self.news.0.close();
-        self.news = async_channel::bounded(1);
+        self.wakeup.0.close();
+        self.wakeup = async_channel::bounded(1);
     }
 }
 
@@ -245,7 +249,7 @@
     }
 }
 
-/// The version that a write expects, zero for none.
+/// Returns the version that a write expects: zero for no object, `None` if invalid.
 fn expected_version(request: &Request) -> Option<ObjectVersion> {
     match (request.header("if-match"), request.header("if-none-match")) {
         (Some(version), None) => version.parse().ok().filter(|v| *v > 0).map(ObjectVersion::new),
@@ -254,7 +258,7 @@
     }
 }
 
-fn checked_value(body: &[u8]) -> Option<Arc<str>> {
+fn parse_value(body: &[u8]) -> Option<Arc<str>> {
     if body.len() > VALUE_BYTES_MAX {
         return None;
     }
--- a/crates/stand-ins/src/plain/mod.rs
+++ b/crates/stand-ins/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of plain services.
+//! Stand-in for plain services.
 
 mod faults;
 mod plain_service;
--- a/crates/stand-ins/src/plain/plain_service.rs
+++ b/crates/stand-ins/src/plain/plain_service.rs
@@ -9,15 +9,15 @@
 use crate::plain::PlainFaults;
 
 data! {
-    /// One call that ran.
+    /// A call that was run.
     #[derive(Eq)]
     #[serde(deny_unknown_fields)]
     pub struct PlainRun {
-        /// The `x-request-id` it came with.
+        /// The `x-request-id` header of the call.
         pub request_id: Option<String>,
-        /// The `idempotency-key` it came with.
+        /// The `idempotency-key` header of the call.
         pub idempotency_key: Option<String>,
-        /// When it began, in microseconds since the Unix epoch.
+        /// When the run started, in microseconds since the Unix epoch.
         pub at_unix_us: u64,
         /// The method.
         pub method: String,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A service that runs calls, notes each run (`GET /runs`) and answers with what it ran.
+/// A service that records each call (`GET /runs`) and echoes it in the answer.
 #[derive(Debug, Default)]
 pub struct PlainService {
     state: Mutex<State>,
@@ -41,17 +41,17 @@
 }
 
 impl PlainService {
-    /// A service without faults.
+    /// Creates a service without faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Everything that ran, in order.
+    /// Returns all recorded calls in start order.
     pub fn runs(&self) -> Vec<PlainRun> {
         self.lock().runs.clone()
     }
 
-    /// Switches faults on and off.
+    /// Replaces the set of active faults.
     pub fn set_faults(&self, faults: PlainFaults) {
         self.lock().faults = faults;
     }
@@ -61,11 +61,11 @@
     }
 
     async fn call(&self, request: Request) -> Answer {
-        if take(&mut self.lock().faults.refuse_not_run) {
+        if consume(&mut self.lock().faults.refuse_not_run) {
             let refusal = json!({"error": {"code": "not_run"}});
             return Answer::json(503, &refusal).with_header("x-not-run", "true");
         }
-        if take(&mut self.lock().faults.reset_before_run) {
+        if consume(&mut self.lock().faults.reset_before_run) {
             return Answer::Close;
         }
         let slow_ms = self.lock().faults.slow_ms;
@@ -77,17 +77,17 @@
             path: request.path.clone(),
             body: String::from_utf8_lossy(&request.body).into_owned(),
         };
-        let number = {
+        let run_number = {
             let mut state = self.lock();
             state.runs.push(run.clone());
             state.runs.len()
         };
         Timer::after(Duration::from_millis(slow_ms)).await;
-        if take(&mut self.lock().faults.lose_answer_after_run) {
+        if consume(&mut self.lock().faults.lose_answer_after_run) {
             return Answer::Close;
         }
-        let crossed = take(&mut self.lock().faults.cross_answers);
-        answer(&run, number, crossed)
+        let other_id = consume(&mut self.lock().faults.cross_answers);
+        answer(&run, run_number, other_id)
     }
 }
 
@@ -107,18 +107,18 @@
     }
 }
 
-fn answer(run: &PlainRun, number: usize, crossed: bool) -> Answer {
-    let ran: Value =
-        json!({"method": run.method, "path": run.path, "body": run.body, "run": number});
-    let echoed = match crossed {
+fn answer(run: &PlainRun, run_number: usize, other_id: bool) -> Answer {
+    let body: Value =
+        json!({"method": run.method, "path": run.path, "body": run.body, "run": run_number});
+    let echoed = match other_id {
         true => "another-request",
         false => run.request_id.as_deref().unwrap_or(""),
     };
-    Answer::json(200, &ran).with_header("x-request-id", echoed)
+    Answer::json(200, &body).with_header("x-request-id", echoed)
 }
 
-fn take(count: &mut u32) -> bool {
-    let any = *count > 0;
+fn consume(count: &mut u32) -> bool {
+    let active = *count > 0;
     *count = count.saturating_sub(1);
-    any
+    active
 }
--- a/crates/stand-ins/src/vm_list/list.rs
+++ b/crates/stand-ins/src/vm_list/list.rs
@@ -10,26 +10,26 @@
 use crate::http::{Answer, Request, Serve};
 
 data! {
-    /// The list as it travels.
+    /// The list in its JSON form.
     #[derive(Default)]
     #[serde(deny_unknown_fields)]
     pub struct VmLines {
-        /// Its lines.
+        /// The entries of the list.
         pub vms: Vec<VmEntry>,
     }
 
-    /// Faults of the VM list, set by `POST /faults`; fields left out are off.
+    /// Faults of the VM list, set by `POST /faults`. Omitted fields are off.
     #[derive(Copy, Default, Eq)]
     #[serde(default, deny_unknown_fields)]
     pub struct VmListFaults {
-        /// Every call loses its connection.
+        /// Closes the connection of every call.
         pub outage: bool,
-        /// How long every answer takes longer, in milliseconds.
+        /// A delay added to every answer, in milliseconds.
         pub delay_ms: u64,
     }
 }
 
-/// A settable list (`PUT /vms`) that `GET /vms` shows as it was a while ago.
+/// A replaceable list (`PUT /vms`). `GET /vms` returns it with a delay.
 #[derive(Debug)]
 pub struct VmList {
     lag: Duration,
@@ -38,43 +38,43 @@
 
 #[derive(Debug, Default)]
 struct State {
-    shown: VmLines,
-    coming: VecDeque<(Instant, VmLines)>,
+    visible: VmLines,
+    pending: VecDeque<(Instant, VmLines)>,
     faults: VmListFaults,
 }
 
 impl VmList {
-    /// A list that lags; the first lines are shown at once.
+    /// Creates a list with initial entries. Later changes become visible after `lag_ms`.
     pub fn new(lag_ms: u64, vms: Vec<VmEntry>) -> Self {
-        let state = State { shown: VmLines { vms }, ..State::default() };
+        let state = State { visible: VmLines { vms }, ..State::default() };
         Self { lag: Duration::from_millis(lag_ms), state: Mutex::new(state) }
     }
 
-    /// Replaces the list; shown after the lag.
-    pub fn set(&self, lines: VmLines) {
-        let due = Instant::now() + self.lag;
-        self.lock().coming.push_back((due, lines));
+    /// Replaces the list. The change becomes visible after the delay.
+    pub fn set(&self, list: VmLines) {
+        let visible_at = Instant::now() + self.lag;
+        self.lock().pending.push_back((visible_at, list));
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn shown(&self) -> VmLines {
+    fn visible(&self) -> VmLines {
         let mut state = self.lock();
         let now = Instant::now();
-        while state.coming.front().is_some_and(|(due, _)| *due <= now) {
-            if let Some((_, lines)) = state.coming.pop_front() {
-                state.shown = lines;
+        while state.pending.front().is_some_and(|(visible_at, _)| *visible_at <= now) {
+            if let Some((_, list)) = state.pending.pop_front() {
+                state.visible = list;
             }
         }
-        state.shown.clone()
+        state.visible.clone()
     }
 
-    /// The newest list, not lagging; for tests that change one line of it.
+    /// Returns the latest list without the delay, for tests that change single entries.
     fn newest(&self) -> VmLines {
         let state = self.lock();
-        state.coming.back().map_or_else(|| state.shown.clone(), |(_, lines)| lines.clone())
+        state.pending.back().map_or_else(|| state.visible.clone(), |(_, list)| list.clone())
     }
 }
 
@@ -87,12 +87,12 @@
                 if faults.outage {
                     return Answer::Close;
                 }
-                Answer::json(200, &self.shown())
+                Answer::json(200, &self.visible())
             }
             ("GET", "/newest") => Answer::json(200, &self.newest()),
             ("PUT", "/vms") => match request.json() {
-                Ok(lines) => {
-                    self.set(lines);
+                Ok(list) => {
+                    self.set(list);
                     Answer::json(200, &json!({}))
                 }
                 Err(error) => Answer::bad_request(error.to_string()),
--- a/crates/stand-ins/src/vm_list/mod.rs
+++ b/crates/stand-ins/src/vm_list/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's list of VMs.
+//! Stand-in for the platform's VM list.
 
 mod list;
 
--- a/crates/stand-ins/src/weights/mod.rs
+++ b/crates/stand-ins/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the rate-limited store of weights.
+//! Stand-in for the rate-limited weights store.
 
 mod store;
 
--- a/crates/stand-ins/src/weights/store.rs
+++ b/crates/stand-ins/src/weights/store.rs
@@ -8,16 +8,16 @@
 use crate::http::{Answer, Request, Serve};
 
 data! {
-    /// A read of a piece of weights, `POST /read`, answered once its bytes have passed.
+    /// A read of a piece of weights (`POST /read`), answered when its transfer time has passed.
     #[derive(Copy, Eq)]
     #[serde(deny_unknown_fields)]
     pub struct WeightsRead {
-        /// Length of the piece, in bytes.
+        /// The length of the piece, in bytes.
         pub bytes: u64,
     }
 }
 
-/// One pipe of fixed rate that all loaders share, piece after piece; no bytes travel.
+/// A simulated link with a fixed rate that serves reads in order. No data is transferred.
 #[derive(Debug)]
 pub struct WeightsStore {
     bytes_per_s: u64,
@@ -32,14 +32,14 @@
 }
 
 impl WeightsStore {
-    /// A store with this rate over all its loaders.
+    /// Creates a store with a total rate in bytes per second.
     pub fn new(bytes_per_s: u64) -> Self {
         let state = State { free_at: Instant::now(), bytes_read: 0, reads: 0 };
         Self { bytes_per_s: bytes_per_s.max(1), state: Mutex::new(state) }
     }
 
-    /// Books the pipe for a piece; when the piece has passed.
-    pub fn book(&self, bytes: u64, now: Instant) -> Instant {
+    /// Schedules a read and returns its completion time.
+    pub fn schedule_read(&self, bytes: u64, now: Instant) -> Instant {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let start = state.free_at.max(now);
         state.free_at = start + Duration::from_secs_f64(bytes as f64 / self.bytes_per_s as f64);
@@ -60,7 +60,7 @@
             ("GET", "/counters") => self.counters(),
             ("POST", "/read") => match request.json::<WeightsRead>() {
                 Ok(read) => {
-                    Timer::at(self.book(read.bytes, Instant::now())).await;
+                    Timer::at(self.schedule_read(read.bytes, Instant::now())).await;
                     Answer::json(200, &read)
                 }
                 Err(error) => Answer::bad_request(error.to_string()),
--- a/crates/stand-ins/tests/engine.rs
+++ b/crates/stand-ins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: formations, streams, faults.
+//! Tests of the engine stand-in: formations, streams and faults.
 
 mod support;
 
@@ -7,23 +7,23 @@
 use serde_json::json;
 use support::Group;
 
-fn ask(prompt: &str, tokens: u32) -> Ask {
+fn request(prompt: &str, tokens: u32) -> Ask {
     Ask::new("m", prompt, tokens).with_header("x-request-id", format!("id of {prompt}"))
 }
 
-fn quick() -> EngineSettings {
+fn fast_settings() -> EngineSettings {
     EngineSettings::new().with_decode_us(1_000)
 }
 
-fn set(faults: EngineFaults) -> EngineFault {
+fn set_faults(faults: EngineFaults) -> EngineFault {
     EngineFault::Set(faults)
 }
 
 #[test]
 fn complete_before_join() {
     smol::block_on(async {
-        let group = Group::new(quick()).await;
-        let reply = group.caller.complete(group.members[0], &ask("early", 4)).await;
+        let group = Group::new(fast_settings()).await;
+        let reply = group.caller.complete(group.members[0], &request("early", 4)).await;
         assert_eq!((reply.status, reply.code.as_deref()), (503, Some("not_admitted")));
     });
 }
@@ -31,10 +31,10 @@
 #[test]
 fn complete_whole_formation() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(1).await;
-        let streamed = group.caller.complete(group.members[0], &ask("streamed", 40)).await;
-        let whole = ask("whole", 40).with_stream(false);
+        let streamed = group.caller.complete(group.members[0], &request("streamed", 40)).await;
+        let whole = request("whole", 40).with_stream(false);
         let whole = group.caller.complete(group.members[0], &whole).await;
         assert!(streamed.whole() && whole.whole(), "{streamed:?} {whole:?}");
         let runs = group.fleet.runs().await["vm-0"].runs();
@@ -46,12 +46,12 @@
 #[test]
 fn complete_three_of_four_joined() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         for rank in 0..3 {
             group.join(rank, 1).await;
         }
         group.wait_for(|report| report["weights_loaded_bytes"] == 1_000_000).await;
-        let reply = group.caller.complete(group.members[0], &ask("early", 4)).await;
+        let reply = group.caller.complete(group.members[0], &request("early", 4)).await;
         assert_eq!(reply.code.as_deref(), Some("not_admitted"));
     });
 }
@@ -59,60 +59,60 @@
 #[test]
 fn complete_wrong_generation() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(7).await;
-        let old = ask("old", 4).with_header("x-replica", "r-1").with_header("x-generation", "6");
-        let reply = group.caller.complete(group.members[0], &old).await;
+        let stale =
+            request("old", 4).with_header("x-replica", "r-1").with_header("x-generation", "6");
+        let reply = group.caller.complete(group.members[0], &stale).await;
         assert_eq!((reply.status, reply.code.as_deref()), (409, Some("wrong_generation")));
         assert!(group.fleet.runs().await["vm-0"].runs().is_empty());
     });
 }
 
-// A caller reads a stream when one of the four VMs dies. It sees the stream break without an end
-// mark, and rank 0 takes nothing new, since a formation that lost a member serves no more. When the
-// VM comes back with empty memory nothing changes until all members are ordered to join anew.
+// The loss of a member aborts the streams of its formation. Requests are rejected until all members
+// have joined again; a restart of the lost member alone is not enough.
 #[test]
 fn complete_member_dies() {
     smol::block_on(async {
         let mut group = Group::new(EngineSettings::new().with_decode_us(20_000)).await;
         group.join_all(1).await;
         let boots = group.status(0).await.unwrap()["formation"]["member_boots"].clone();
-        let reading = ask("long", 2_000);
+        let reading = request("long", 2_000);
         let reading = group.caller.complete(group.members[0], &reading);
-        let killing = async {
+        let stopping = async {
             group.wait_for(|report| report["tokens_generated"].as_u64() > Some(3)).await;
             group.fleet.set_fault("vm-2", EngineFault::Die).await.unwrap();
         };
-        let (reply, ()) = smol::future::zip(reading, killing).await;
+        let (reply, ()) = smol::future::zip(reading, stopping).await;
         assert_eq!(reply.outcome, Outcome::Broken);
         group.fleet.set_fault("vm-2", EngineFault::Restart).await.unwrap();
-        let reply = group.caller.complete(group.members[0], &ask("after", 4)).await;
+        let reply = group.caller.complete(group.members[0], &request("after", 4)).await;
         assert_eq!(reply.code.as_deref(), Some("not_admitted"));
         group.join_all(2).await;
         let report = group.status(0).await.unwrap();
         assert_ne!(report["formation"]["member_boots"], boots);
-        assert!(group.caller.complete(group.members[0], &ask("mended", 4)).await.whole());
+        assert!(group.caller.complete(group.members[0], &request("recovered", 4)).await.whole());
     });
 }
 
 #[test]
 fn complete_cut_stream() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(1).await;
         let cut = EngineFaults { cut_streams: 1, cut_after_tokens: 5, ..EngineFaults::default() };
-        group.fleet.set_fault("vm-0", set(cut)).await.unwrap();
-        let reply = group.caller.complete(group.members[0], &ask("cut", 20)).await;
+        group.fleet.set_fault("vm-0", set_faults(cut)).await.unwrap();
+        let reply = group.caller.complete(group.members[0], &request("cut", 20)).await;
         assert_eq!(reply.outcome, Outcome::Broken);
         assert_eq!(reply.text, celeryhaven_stand_ins::engine::expected_text("cut", 0..5));
-        assert!(group.caller.complete(group.members[0], &ask("next", 20)).await.whole());
+        assert!(group.caller.complete(group.members[0], &request("next", 20)).await.whole());
     });
 }
 
 #[test]
 fn complete_resumed() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(1).await;
         let url = format!("http://{}/v1/completions", group.members[0]);
         let body = json!({"prompt": "p", "max_tokens": 9, "resume_from": 6});
@@ -130,22 +130,22 @@
 #[test]
 fn complete_crossed_answer() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(1).await;
         let crossed = EngineFaults { cross_answers: 1, ..EngineFaults::default() };
-        group.fleet.set_fault("vm-0", set(crossed)).await.unwrap();
-        let reply = group.caller.complete(group.members[0], &ask("mine", 4)).await;
+        group.fleet.set_fault("vm-0", set_faults(crossed)).await.unwrap();
+        let reply = group.caller.complete(group.members[0], &request("mine", 4)).await;
         assert_eq!(reply.request_id.as_deref(), Some("another-id of mine"));
     });
 }
 
 #[test]
-fn complete_caller_gone() {
+fn complete_caller_disconnected() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(1).await;
-        let hasty = Caller::new("key").with_timeout(std::time::Duration::from_millis(300));
-        let reply = hasty.complete(group.members[0], &ask("abandoned", 1_000_000)).await;
+        let caller = Caller::new("key").with_timeout(std::time::Duration::from_millis(300));
+        let reply = caller.complete(group.members[0], &request("abandoned", 1_000_000)).await;
         assert_eq!(reply.outcome, Outcome::Broken);
         group.wait_for(|report| report["running"] == 0).await;
         let runs = group.fleet.runs().await["vm-0"].runs();
@@ -156,9 +156,9 @@
 #[test]
 fn cancel_running() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(1).await;
-        let long = ask("long", 1_000_000).with_stream(false);
+        let long = request("long", 1_000_000).with_stream(false);
         let url = format!("http://{}/cancel", group.members[0]);
         let cancelling = async {
             group.wait_for(|report| report["running"] == 1).await;
@@ -177,7 +177,9 @@
 #[test]
 fn order_old_fence() {
     smol::block_on(async {
-        for (settings, status) in [(quick(), 409), (quick().with_fences_ignored(), 200)] {
+        for (settings, status) in
+            [(fast_settings(), 409), (fast_settings().with_fences_ignored(), 200)]
+        {
             let mut group = Group::new(settings).await;
             let drain = json!({"drain": {"replica": "r-1"}});
             assert_eq!(group.order(0, 5, drain.clone()).await.0, 200);
@@ -189,10 +191,10 @@
 #[test]
 fn complete_draining() {
     smol::block_on(async {
-        let mut group = Group::new(quick()).await;
+        let mut group = Group::new(fast_settings()).await;
         group.join_all(1).await;
         group.order(0, 1, json!({"drain": {"replica": "r-1"}})).await;
-        let reply = group.caller.complete(group.members[0], &ask("late", 4)).await;
+        let reply = group.caller.complete(group.members[0], &request("late", 4)).await;
         assert_eq!(reply.code.as_deref(), Some("not_admitted"));
     });
 }
@@ -200,13 +202,14 @@
 #[test]
 fn cache_events_bounded() {
     smol::block_on(async {
-        let settings = EngineSettings { cache_blocks_max: 4, cache_event_lag_ms: 0, ..quick() };
+        let settings =
+            EngineSettings { cache_blocks_max: 4, cache_event_lag_ms: 0, ..fast_settings() };
         let mut group = Group::new(settings).await;
         group.join_all(1).await;
         for number in 0..3 {
             let prompt = format!("{number}").repeat(600);
-            let ask = Ask::new("m", prompt, 2).with_header("x-request-id", format!("{number}"));
-            assert!(group.caller.complete(group.members[0], &ask).await.whole());
+            let request = Ask::new("m", prompt, 2).with_header("x-request-id", format!("{number}"));
+            assert!(group.caller.complete(group.members[0], &request).await.whole());
         }
         let url = format!("http://{}/cache-events?from=0", group.members[0]);
         let (_, body) = group.caller.send("GET", &url, None).await.unwrap();
--- a/crates/stand-ins/tests/object_api.rs
+++ b/crates/stand-ins/tests/object_api.rs
@@ -1,4 +1,4 @@
-//! The Object API stand-in: conditional updates, watches, limits, faults.
+//! Tests of the Object API stand-in: conditional updates, change history and rate limits.
 
 use std::sync::Arc;
 
--- a/crates/stand-ins/tests/plain.rs
+++ b/crates/stand-ins/tests/plain.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: runs are counted, answers can be lost.
+//! Tests of the plain service stand-in: recorded calls and lost answers.
 
 use std::sync::Arc;
 
@@ -6,8 +6,8 @@
 use celeryhaven_stand_ins::http::Server;
 use celeryhaven_stand_ins::plain::{PlainFaults, PlainService};
 
-/// Any free port of the loopback address.
-const ANY: std::net::SocketAddr =
+/// The loopback address with an automatically assigned port.
+const LOOPBACK_ANY_PORT: std::net::SocketAddr =
     std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 fn update(id: &str) -> PlainCall {
@@ -18,7 +18,7 @@
 fn call_answer_lost() {
     smol::block_on(async {
         let service = Arc::new(PlainService::new());
-        let server = Server::bind(ANY, service.clone()).await.unwrap();
+        let server = Server::bind(LOOPBACK_ANY_PORT, service.clone()).await.unwrap();
         service.set_faults(PlainFaults { lose_answer_after_run: 1, ..PlainFaults::default() });
         let caller = Caller::new("key");
         let lost = caller.call(server.address(), &update("a")).await;
@@ -32,7 +32,7 @@
 fn call_not_run() {
     smol::block_on(async {
         let service = Arc::new(PlainService::new());
-        let server = Server::bind(ANY, service.clone()).await.unwrap();
+        let server = Server::bind(LOOPBACK_ANY_PORT, service.clone()).await.unwrap();
         let faults =
             PlainFaults { refuse_not_run: 1, reset_before_run: 1, ..PlainFaults::default() };
         service.set_faults(faults);
--- a/crates/stand-ins/tests/support/mod.rs
+++ b/crates/stand-ins/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the stand-ins share.
+//! Helpers for the tests of the engine stand-in.
 
 #![allow(clippy::unwrap_used, reason = "a test helper panics as its test does")]
 
@@ -9,10 +9,11 @@
 use celeryhaven_stand_ins::engine::{EngineFleet, EngineSettings};
 use serde_json::{Value, json};
 
-/// Any free port of the loopback address.
-pub const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+/// The loopback address with an automatically assigned port.
+pub const LOOPBACK_ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// Four engine VMs of one replica.
+/// Four engine VMs that form one replica.
 pub struct Group {
     pub fleet: EngineFleet,
     pub members: Vec<SocketAddr>,
@@ -25,12 +26,17 @@
         let fleet = EngineFleet::new();
         let mut members = Vec::new();
         for rank in 0..4 {
-            members.push(fleet.start(&format!("vm-{rank}"), ANY, settings.clone()).await.unwrap());
+            members.push(
+                fleet
+                    .start(&format!("vm-{rank}"), LOOPBACK_ANY_PORT, settings.clone())
+                    .await
+                    .unwrap(),
+            );
         }
         Self { fleet, members, caller: Caller::new("key"), next_order: 0 }
     }
 
-    /// Sends an order; its status and body.
+    /// Sends an order to a member and returns the status and the body of its answer.
     pub async fn order(&mut self, rank: usize, fence: u64, kind: Value) -> (u16, Value) {
         self.next_order += 1;
         let order =
@@ -60,15 +66,18 @@
         self.caller.send("GET", &url, None).await.map(|(_, body)| body)
     }
 
-    /// Waits until the report of rank 0 is as wanted.
-    pub async fn wait_for(&self, wanted: impl Fn(&Value) -> bool) -> Value {
+    /// Waits until the report of rank 0 meets a condition, and returns it.
+    pub async fn wait_for(&self, condition: impl Fn(&Value) -> bool) -> Value {
         let start = Instant::now();
         loop {
             let report = self.status(0).await.unwrap_or(Value::Null);
-            if wanted(&report) {
+            if condition(&report) {
                 return report;
             }
-            assert!(start.elapsed() < Duration::from_secs(30), "not in time: {report}");
+            assert!(
+                start.elapsed() < Duration::from_secs(30),
+                "condition not met within 30 s: {report}"
+            );
             smol::Timer::after(Duration::from_millis(20)).await;
         }
     }
