--- a/crates/capacity/src/figures/counted.rs
+++ b/crates/capacity/src/figures/counted.rs
@@ -4,45 +4,45 @@
 use celeryhaven_node::PeerMessage;
 
 state! {
-    /// What a message between entries is for.
+    /// The purpose of a message between entries.
     #[derive(Copy, Eq, PartialOrd, Ord)]
     pub enum MessageKind {
-        /// Who is a member.
+        /// Membership protocol.
         Membership,
-        /// Configuration and placements.
+        /// Distribution of the configuration and of placements.
         Spread,
-        /// What observers see of replicas.
+        /// Reports on replicas by their observers.
         Observation,
     }
 
-    /// What control cost one fleet in a span of virtual time.
+    /// The control cost of a fleet over a span of virtual time.
     #[derive(Default)]
     pub struct Figures {
-        /// Entry nodes.
+        /// The number of entry nodes.
         pub nodes: usize,
-        /// The span, in seconds.
+        /// The length of the span, in seconds.
         pub seconds: f64,
-        /// Messages and bytes sent between entries, headers included.
+        /// Messages and bytes sent between entries, including packet headers.
         pub sent: BTreeMap<MessageKind, (u64, u64)>,
-        /// Calls to the Object API; a waiting watch counts once each time it is asked.
+        /// Calls to the Object API. A repeated watch counts each time.
         pub store_calls: u64,
         /// Reads of the VM list.
         pub vm_list_reads: u64,
         /// Polls of members.
         pub polls: u64,
-        /// Processor time of control events, in microseconds.
+        /// CPU time of control events, in microseconds.
         pub control_us: f64,
-        /// Processor time of request events, in microseconds.
+        /// CPU time of request events, in microseconds.
         pub request_us: f64,
-        /// Requests that got their answer.
+        /// Answered requests.
         pub requests: u64,
-        /// Memory of one node, in bytes.
+        /// Memory per node, in bytes.
         pub node_bytes: f64,
     }
 }
 
 impl MessageKind {
-    /// What this message is for.
+    /// Returns the kind of a message.
     pub fn of(message: &PeerMessage) -> Self {
         match message {
             PeerMessage::Membership(_) => Self::Membership,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The word in tables.
+    /// Returns the lower-case name of the kind.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Membership => "membership",
@@ -61,36 +61,36 @@
     }
 }
 
-/// For one node and second.
+/// Rates and costs. Rates are per node unless stated otherwise.
 impl Figures {
-    /// Messages and bytes of one kind.
+    /// Returns messages and bytes per second of one kind.
     pub fn sent_per_second(&self, kind: MessageKind) -> (f64, f64) {
         let (messages, bytes) = self.sent.get(&kind).copied().unwrap_or_default();
         (self.per_node_second(messages as f64), self.per_node_second(bytes as f64))
     }
 
-    /// Bytes of all kinds.
+    /// Returns bytes per second of all kinds.
     pub fn bytes_per_second(&self) -> f64 {
         let bytes: u64 = self.sent.values().map(|(_, bytes)| bytes).sum();
         self.per_node_second(bytes as f64)
     }
 
-    /// Share of a core that control takes.
+    /// Returns the share of a CPU core used by control events.
     pub fn control_share(&self) -> f64 {
         self.per_node_second(self.control_us) / 1e6
     }
 
-    /// Microseconds of decisions for one request.
+    /// Returns the CPU time per request, in microseconds.
     pub fn request_cost_us(&self) -> f64 {
         self.request_us / self.requests.max(1) as f64
     }
 
-    /// Polls of members.
+    /// Returns polls of members per second.
     pub fn polls_per_second(&self) -> f64 {
         self.per_node_second(self.polls as f64)
     }
 
-    /// Calls to the Object API, of the whole fleet.
+    /// Returns calls to the Object API per second by the whole fleet.
     pub fn store_calls_per_second(&self) -> f64 {
         self.store_calls as f64 / self.seconds
     }
--- a/crates/capacity/src/figures/mod.rs
+++ b/crates/capacity/src/figures/mod.rs
@@ -1,4 +1,4 @@
-//! What was counted.
+//! Counters and the rates derived from them.
 
 mod counted;
 
--- a/crates/capacity/src/fit/mod.rs
+++ b/crates/capacity/src/fit/mod.rs
@@ -1,4 +1,4 @@
-//! Straight lines through figures of several sizes.
+//! Linear fits of costs against fleet sizes.
 
 mod line;
 
--- a/crates/capacity/src/fleet/declared.rs
+++ b/crates/capacity/src/fleet/declared.rs
@@ -10,7 +10,7 @@
 use crate::fleet::FleetSize;
 use crate::fleet::size::VMS_PER_REPLICA;
 
-/// Replicas of one fabric domain.
+/// Replicas per fabric domain.
 const REPLICAS_PER_DOMAIN: usize = 10;
 
 pub(crate) const MODEL: &str = "drafting";
@@ -37,7 +37,7 @@
     ReplicaName::new(format!("{MODEL}-{replica:04}"))
 }
 
-/// The configuration, with ten organisations for every eight nodes.
+/// Returns a configuration with ten organisations for every eight nodes.
 pub(crate) fn config(size: &FleetSize, number: u64) -> Config {
     let organisations = (0..size.nodes.div_ceil(8) * 10).map(|number| Organisation {
         name: OrganisationName::new(format!("organisation-{number}")),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Every placement; the replicas of a fabric domain are in one data centre.
+/// Returns all placements. The replicas of a fabric domain are in one data centre.
 pub(crate) fn placements(size: &FleetSize) -> Vec<DomainPlacement> {
     let replicas: Vec<usize> = (0..size.replicas).collect();
     let domain = |(number, replicas): (usize, &[usize])| DomainPlacement {
@@ -90,13 +90,13 @@
         fence: Fence::new(1),
         write_id: 1,
         next_replica: REPLICAS_PER_DOMAIN as u64,
-        replicas: replicas.iter().map(|replica| placed(*replica)).collect(),
+        replicas: replicas.iter().map(|replica| serving_replica(*replica)).collect(),
         releasing: Vec::new(),
     };
     replicas.chunks(REPLICAS_PER_DOMAIN).enumerate().map(domain).collect()
 }
 
-fn placed(replica: usize) -> Replica {
+fn serving_replica(replica: usize) -> Replica {
     Replica {
         name: replica_name(replica),
         deployment: DeploymentName::new(MODEL),
@@ -108,7 +108,7 @@
     }
 }
 
-/// The VM list: every entry and every engine.
+/// Returns a VM list with all entries and engines.
 pub(crate) fn vms(size: &FleetSize) -> Vec<VmEntry> {
     let entry = |node: usize| VmEntry {
         vm: VmName::new(node_name(node)),
@@ -136,8 +136,8 @@
     (0..size.nodes).map(entry).chain(engines).collect()
 }
 
-/// What a member answers to a poll: all is well.
-pub(crate) fn report(vm: &VmName) -> Option<MemberReport> {
+/// Returns a healthy member's answer to a poll.
+pub(crate) fn healthy_report(vm: &VmName) -> Option<MemberReport> {
     let mut parts = vm.as_str().split('-').skip(1);
     let replica: usize = parts.next()?.parse().ok()?;
     let boots = (0..VMS_PER_REPLICA).map(|rank| Boot::new(rank as u64 + 1)).collect();
--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -6,10 +6,10 @@
 
 use crate::fleet::declared::{MODEL, ORGANISATION};
 
-/// How long a target takes for an answer, and its tokens: 1.6 million a second of 8,200 requests.
+/// Duration of an answer, in milliseconds.
 const ANSWER_MS: u64 = 4_000;
 const ANSWER_TOKENS: u32 = 195;
-/// Times that a driver reports progress during an answer.
+/// Progress reports per answer.
 const PROGRESS_REPORTS: u32 = 8;
 
 pub(crate) fn arrival(ticket: u64) -> EntryEvent {
@@ -29,17 +29,17 @@
     EntryEvent::Arrived { ticket: Ticket::new(ticket), head, key: KeyUse::None, passed_on: false }
 }
 
-/// What a driver reports of an attempt that goes well, with the delay of each event.
+/// Returns the events of a successful attempt, each with its delay in milliseconds.
 pub(crate) fn answer(ticket: Ticket, attempt: Attempt) -> Vec<(u64, EntryEvent)> {
-    let told = |event| EntryEvent::Attempt { ticket, attempt, event };
+    let attempt_event = |event| EntryEvent::Attempt { ticket, attempt, event };
     let tokens = ANSWER_TOKENS / PROGRESS_REPORTS;
     let progress = (1..=u64::from(PROGRESS_REPORTS)).map(|report| {
         let at_ms = ANSWER_MS * report / (u64::from(PROGRESS_REPORTS) + 1);
-        (at_ms, told(AttemptEvent::Progress { tokens }))
+        (at_ms, attempt_event(AttemptEvent::Progress { tokens }))
     });
-    [(0, told(AttemptEvent::Sent)), (200, told(AttemptEvent::Started))]
+    [(0, attempt_event(AttemptEvent::Sent)), (200, attempt_event(AttemptEvent::Started))]
         .into_iter()
         .chain(progress)
-        .chain([(ANSWER_MS, told(AttemptEvent::Finished))])
+        .chain([(ANSWER_MS, attempt_event(AttemptEvent::Finished))])
         .collect()
 }
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The nodes and what surrounds them.
+//! Simulated entry nodes and their environment.
 
 mod declared;
 mod events;
--- a/crates/capacity/src/fleet/size.rs
+++ b/crates/capacity/src/fleet/size.rs
@@ -1,46 +1,46 @@
 use celeryhaven_derives::state;
 
 state! {
-    /// How large a fleet is.
+    /// The size of a fleet.
     #[derive(Copy)]
     pub struct FleetSize {
-        /// Entry nodes.
+        /// The number of entry nodes.
         pub nodes: usize,
-        /// Data centres.
+        /// The number of data centres.
         pub data_centres: usize,
-        /// Replicas of four VMs.
+        /// The number of replicas.
         pub replicas: usize,
-        /// Requests a second, of all nodes.
+        /// Requests per second of the whole fleet.
         pub requests_per_second: f64,
-        /// How often an observer polls a member, and other entries ask it.
+        /// The interval at which observers poll members, in milliseconds.
         pub poll_interval_ms: u64,
     }
 }
 
-/// VMs of one replica.
+/// VMs per replica.
 pub(crate) const VMS_PER_REPLICA: usize = 4;
 
-/// Nodes, replicas, data centres and requests a second of the size in two years.
-const IN_TWO_YEARS: (f64, f64, usize, f64) = (340.0, 840.0, 10, 8_200.0);
+/// Nodes, replicas, data centres and requests per second of the planned size.
+const PLANNED_SIZE: (f64, f64, usize, f64) = (340.0, 840.0, 10, 8_200.0);
 
-/// The default of the setting.
-const POLL_INTERVAL_MS: u64 = 500;
+/// The default of the setting `poll_interval_ms`.
+const DEFAULT_POLL_INTERVAL_MS: u64 = 500;
 
 impl FleetSize {
-    /// A part of the size in two years, with the same replicas and requests for each node.
+    /// Returns a fraction of the planned size with the same replicas and requests per node.
     pub fn part(nodes: usize) -> Self {
-        let (all_nodes, replicas, data_centres, requests) = IN_TWO_YEARS;
+        let (all_nodes, replicas, data_centres, requests) = PLANNED_SIZE;
         let share = nodes as f64 / all_nodes;
         Self {
             nodes,
             data_centres: data_centres.min(nodes.div_ceil(3)),
             replicas: ((replicas * share).round() as usize).max(1),
             requests_per_second: requests * share,
-            poll_interval_ms: POLL_INTERVAL_MS,
+            poll_interval_ms: DEFAULT_POLL_INTERVAL_MS,
         }
     }
 
-    /// Sets how often members are polled.
+    /// Sets the poll interval, in milliseconds.
     pub const fn with_poll_interval_ms(mut self, poll_interval_ms: u64) -> Self {
         self.poll_interval_ms = poll_interval_ms;
         self
--- a/crates/capacity/src/fleet/store.rs
+++ b/crates/capacity/src/fleet/store.rs
@@ -2,7 +2,7 @@
     Object, ObjectChange, ObjectKey, ObjectVersion, StoreCallId, StoreReply, StoreRequest,
 };
 
-/// A watch that waits.
+/// A waiting watch.
 struct Watch {
     node: usize,
     call: StoreCallId,
@@ -11,7 +11,7 @@
     until_us: u64,
 }
 
-/// An Object API that always answers.
+/// A simulated Object API that is always available.
 #[derive(Default)]
 pub(crate) struct Store {
     version: u64,
@@ -19,7 +19,7 @@
     watches: Vec<Watch>,
 }
 
-/// An answer for a node.
+/// A reply and the node and call that it is for.
 pub(crate) type Answer = (usize, StoreCallId, StoreReply);
 
 impl Store {
@@ -51,7 +51,7 @@
         Some((node, call, reply))
     }
 
-    /// Watches that have something to say by now.
+    /// Returns the replies of watches that have changes or have timed out.
     pub(crate) fn due(&mut self, now_us: u64) -> Vec<Answer> {
         let (due, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.watches)
             .into_iter()
@@ -59,9 +59,9 @@
         self.watches = waiting;
         due.into_iter()
             .map(|watch| {
-                let news = self.changes.iter().filter(|change| change.version.get() > watch.from);
-                let below = news.filter(|c| c.key.as_str().starts_with(watch.prefix.as_str()));
-                let changes = below.cloned().collect();
+                let newer = self.changes.iter().filter(|change| change.version.get() > watch.from);
+                let matching = newer.filter(|c| c.key.as_str().starts_with(watch.prefix.as_str()));
+                let changes = matching.cloned().collect();
                 let version = ObjectVersion::new(self.version);
                 (watch.node, watch.call, StoreReply::Changes { version, changes })
             })
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,14 +1,14 @@
-//! Measures what control costs a node, by the size of the fleet.
+//! Measures the cost of control per node as a function of the fleet size.
 //!
-//! The real entry state machines run in virtual time in one process, before members, an Object API
-//! and a VM list that always answer. What they send is encoded and counted; the processor time of
-//! their decisions is measured.
+//! The entry state machines run in virtual time in one process. Members, the Object API and the VM
+//! list are simulated and always available. Sent messages are encoded and counted, and the CPU time
+//! of the state machines is measured.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! |---|---|
-//! | [`fleet`] | the nodes and what surrounds them |
-//! | [`figures`] | what was counted |
-//! | [`fit`] | straight lines through figures of several sizes |
+//! | [`fleet`] | simulated nodes and their environment |
+//! | [`figures`] | counters and the rates derived from them |
+//! | [`fit`] | linear fits of costs against fleet sizes |
 
 pub mod figures;
 pub mod fit;
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,10 +1,10 @@
-//! Prints what control costs a node at several sizes, and the lines through the figures.
+//! Prints the control cost of a node at several fleet sizes, and linear fits of the costs.
 
 use std::process::ExitCode;
 
 use celeryhaven_capacity::{Figures, Fleet, FleetSize, Line, MessageKind};
 
-/// Shown for `--help` and after a mistake on the command line.
+/// The usage text for `--help` and for errors in the command line.
 const USAGE: &str = "\
 usage: celeryhaven-capacity [--nodes N,N,...] [--seconds N] [--settle-seconds N] [--poll-ms N]
 
@@ -15,13 +15,13 @@
 
 Exit status: 0, or 2 on a mistake.";
 
-/// Nodes of the size in two years.
-const IN_TWO_YEARS: f64 = 340.0;
+/// Nodes of the planned fleet size.
+const PLANNED_NODES: f64 = 340.0;
 
 const KINDS: [MessageKind; 3] =
     [MessageKind::Membership, MessageKind::Spread, MessageKind::Observation];
 
-/// One figure of a measurement.
+/// A figure derived from a measurement.
 type Figure = fn(&Figures) -> f64;
 
 struct Options {
@@ -57,7 +57,7 @@
         arguments.opt_value_from_str(name).map_err(|error| error.to_string())
     };
     let nodes = value("--nodes")?.unwrap_or_else(|| "8,32,100,340".into());
-    let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text} is no number"));
+    let number = |text: &str| text.parse::<u64>().map_err(|_| format!("invalid number: {text}"));
     let seconds = value("--seconds")?.map_or(Ok(20), |text| number(&text))?;
     let settle_seconds = value("--settle-seconds")?.map_or(Ok(60), |text| number(&text))?;
     let poll_ms = value("--poll-ms")?.map_or(Ok(500), |text| number(&text))?;
@@ -89,19 +89,19 @@
             line.at_zero,
             line.slope,
             line.residual * 100.0,
-            line.at(IN_TWO_YEARS)
+            line.at(PLANNED_NODES)
         );
     }
 }
 
 fn measure(nodes: usize, options: &Options) -> Figures {
-    let before = resident_bytes();
+    let bytes_before = resident_bytes();
     let size = FleetSize::part(nodes).with_poll_interval_ms(options.poll_ms);
     let mut fleet = Fleet::new(size, 5);
     fleet.run(options.settle_seconds);
     fleet.load();
     fleet.run(10);
-    let node_bytes = (resident_bytes() - before).max(0.0) / nodes as f64;
+    let node_bytes = (resident_bytes() - bytes_before).max(0.0) / nodes as f64;
     let figures = Figures { node_bytes, ..fleet.run(options.seconds) };
     print!("{nodes:5} {:5}", fleet.ready());
     for kind in KINDS {
@@ -120,7 +120,7 @@
     figures
 }
 
-/// Memory of this process, in bytes.
+/// Returns the resident memory of this process, in bytes.
 fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok());
