--- a/crates/controller/src/http/server.rs
+++ b/crates/controller/src/http/server.rs
@@ -24,7 +24,7 @@
                     "/readyz" if progress.is_running() => conn.ok("ready\n"),
                     "/readyz" => conn
                         .with_status(Status::ServiceUnavailable)
-                        .with_body("the control thread is stalled\n"),
+                        .with_body("the control thread stands still\n"),
                     "/metrics" => conn.ok(metrics.process.encode()),
                     _ => conn,
                 }
