--- a/crates/forming/src/domain/domain_planner.rs
+++ b/crates/forming/src/domain/domain_planner.rs
@@ -63,7 +63,7 @@
     pub(crate) load_limiter: LoadLimiter,
     /// Plans of this planner whose write has no confirmed result.
     pub(crate) unconfirmed: BTreeSet<ReplicaName>,
-    /// The highest generation in the record as last read or written.
+    /// The highest generation read from or written to the record.
     pub(crate) planned_generation: Generation,
     /// Plans of other coordinators that the target list does not show yet.
     pub(crate) unlisted_plans: BTreeMap<ReplicaName, UnlistedPlan>,
@@ -204,9 +204,8 @@
 
     /// Applies the record as read, and continues own plans whose write had no confirmed result.
     ///
-    /// The record shows another coordinator's plans before the target list does, so their members
-    /// count as taken for a while. Replicas that the list has shown are not new: their members need
-    /// no such wait.
+    /// The record shows another coordinator's plans before the target list does, so the members of
+    /// plans that were not listed recently count as taken for a while.
     fn record_read(
         &mut self,
         now: TimeMs,
@@ -265,8 +264,8 @@
 /// Whether a planned replica is listed or was listed recently.
 fn was_listed(view: FormingView<'_>, plan: &PlannedReplica) -> bool {
     let replica = plan.replica.clone();
-    let first = ReplicaKey { replica, generation: Generation::default() };
-    let listed = view.replicas.range(&first..).next().map(|(key, _)| key);
-    let recently_listed = view.recently_listed.range(&first..).next();
+    let lowest = ReplicaKey { replica, generation: Generation::default() };
+    let listed = view.replicas.range(&lowest..).next().map(|(key, _)| key);
+    let recently_listed = view.recently_listed.range(&lowest..).next();
     listed.into_iter().chain(recently_listed).any(|key| key.replica == plan.replica)
 }
--- a/crates/forming/src/domain/planning.rs
+++ b/crates/forming/src/domain/planning.rs
@@ -47,7 +47,8 @@
     /// Returns how many replicas of each model serve or are being formed in this domain.
     pub(crate) fn current_replicas(&self, view: FormingView<'_>) -> BTreeMap<ModelName, usize> {
         let mut current = BTreeMap::new();
-        let own = view.replicas.values().filter(|r| r.domain.as_ref() == Some(&self.domain));
+        let own =
+            view.replicas.values().filter(|replica| replica.domain.as_ref() == Some(&self.domain));
         for replica in own {
             let excluded = self.left.iter().any(|(_, key)| *key == replica.key)
                 || self.dissolving.contains_key(&replica.key)
@@ -78,29 +79,30 @@
         let missing = |count: &&ModelCount| {
             current.get(&count.model).copied().unwrap_or_default() < count.replicas
         };
-        let mut short = wanted.iter().filter(missing).chain(wanted.iter().rev());
-        let warm = short.find_map(|count| select_members(free, count, Warmth::Staged));
+        let mut by_preference = wanted.iter().filter(missing).chain(wanted.iter().rev());
+        let warm = by_preference.find_map(|count| select_members(free, count, Warmth::Staged));
         if warm.is_some() {
             return warm;
         }
-        // Once callers are served, targets stage the model first and join warm.
-        let forming = self.formations.values().any(|formation| !self.is_warm(view, formation));
-        if self.serves_callers(view) != Some(false) || forming {
+        // While callers may be served, targets stage the model before they join.
+        let is_forming_cold =
+            self.formations.values().any(|formation| !self.is_warm(view, formation));
+        if self.serves_callers(view) != Some(false) || is_forming_cold {
             return None;
         }
-        let first = wanted
+        let without_replica = wanted
             .iter()
             .rev()
             .filter(missing)
             .find(|count| current.get(&count.model).copied().unwrap_or_default() == 0);
-        let cold = first.or_else(|| wanted.iter().find(missing))?;
+        let cold = without_replica.or_else(|| wanted.iter().find(missing))?;
         select_members(free, cold, Warmth::Cold)
     }
 
     /// Returns a warm replica of the model with the lowest provision, up to the model's share.
     ///
-    /// After losses, free targets often have several models. Forming whatever fits would use them
-    /// up for small replicas beyond their share.
+    /// After losses, free targets often have served several models. Forming whatever fits would use
+    /// them up for replicas of small models beyond the share of these.
     fn next_by_need(
         &self,
         view: FormingView<'_>,
--- a/crates/gateway/src/control/control_loop.rs
+++ b/crates/gateway/src/control/control_loop.rs
@@ -32,14 +32,14 @@
 use crate::control::target_client::TargetClient;
 use crate::traffic::{Destination, OfferedLoad, TrafficReport, TrafficUpdate};
 
-/// Interval between two evaluations of the coordinators.
+/// Interval between two [`ControlEvent::Tick`] events.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Interval between two log lines on store calls, in milliseconds.
 const STORE_CALL_LOG_INTERVAL_MS: u64 = 5_000;
 
 /// Time constant of the average offered load, in milliseconds.
-const DEMAND_WINDOW_MS: u64 = 6_000;
+const DEMAND_TIME_CONSTANT_MS: u64 = 6_000;
 
 /// Limits for connections of other nodes.
 const PEER_SERVER_LIMITS: ServerLimits =
@@ -70,7 +70,7 @@
     pub(super) targets_listed: bool,
     /// All destinations of requests.
     pub(super) destinations: Arc<[Destination]>,
-    /// Last update sent to traffic.
+    /// Last update sent to the traffic thread.
     pub(super) published: Option<TrafficUpdate>,
     pub(super) peers: Peers,
     pub(super) coordinators: Coordinators,
@@ -116,7 +116,7 @@
             relay,
             recent_suspicions: RecentSuspicions::default(),
             nodes_probed_at: TimeMs::new(0),
-            demand: DemandMeter::new(DEMAND_WINDOW_MS),
+            demand: DemandMeter::new(DEMAND_TIME_CONSTANT_MS),
             shares: ModelShares::new(),
             calls_logged_at: BootClock.now(),
         }
@@ -155,7 +155,7 @@
     fn start_tasks(&self) {
         self.start_feed(self.parts.adapter.targets_prefix(), FeedKind::Targets);
         let key = self.parts.adapter.configuration_key();
-        let prefix = key.as_str().rsplit_once('/').map_or("", |(kind, _)| kind);
+        let prefix = key.as_str().rsplit_once('/').map_or("", |(folder, _)| folder);
         self.start_feed(ObjectKey::new(format!("{prefix}/")), FeedKind::Configuration);
         let tick_sender = self.parts.events.0.clone();
         let send_ticks = async move {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Updates the state that depends on changed parts.
+    /// Updates the state that depends on what has changed.
     fn process_changes(&mut self, changes: Changes) {
         if changes.targets {
             self.destinations = self.find_destinations();
--- a/crates/gateway/src/control/coordination.rs
+++ b/crates/gateway/src/control/coordination.rs
@@ -20,7 +20,7 @@
 /// How long a node counts as cut off after a failed store call, in milliseconds.
 ///
 /// Covers the interval between two reads of all node records plus the timeouts of a write and a
-/// read, so that the state does not flap while the node remains cut off.
+/// read, so that a node counts as cut off for as long as it remains so.
 const CUT_OFF_DURATION_MS: u64 = 5_500;
 
 impl<A: Adapter> Control<A> {
@@ -96,12 +96,12 @@
 
     /// Updates the model shares from the demand of the fleet.
     pub(super) fn update_demand_shares(&mut self, now: TimeMs) {
-        let mut tree = self.relay.demand.borrow_mut();
-        tree.set_own(self.demand.sample(now));
+        let mut demand_tree = self.relay.demand.borrow_mut();
+        demand_tree.set_own(self.demand.sample(now));
         let Some(routes) = self.routes.clone() else { return };
         let Some((service, profile)) = engine_service(&routes) else { return };
         let targets = self.fleet.domains(service).map(|(_, targets)| targets.ready()).sum();
-        let fleet = tree.fleet_demand(now);
+        let fleet = demand_tree.fleet_demand(now);
         let size = FleetSize { nodes: self.peers.live_count() as u32 + 1, targets };
         if self.shares.update(&profile.models, profile.slots, size, &fleet) {
             for (model, share) in profile.models.iter().zip(self.shares.as_slice()) {
@@ -137,8 +137,8 @@
         self.cut_off_until = Some(now.after(CUT_OFF_DURATION_MS));
     }
 
-    /// Probes the nodes that are advertised to callers and those that precede this one as
-    /// coordinator.
+    /// Probes the nodes that may be advertised to callers, and the candidates that precede this one
+    /// as coordinator of a domain.
     pub(super) fn probe_nodes(&mut self, now: TimeMs) {
         if now.since(self.nodes_probed_at) < NODE_PROBE_INTERVAL_MS {
             return;
@@ -155,16 +155,16 @@
             let Some(record) = self.peers.record(&node) else { continue };
             let address = record.ready_address;
             let (client, events) = (self.parts.target_client.clone(), self.parts.events.0.clone());
-            let probe = async move {
+            let probe_and_report = async move {
                 let probe = client.probe_node(address).await;
                 events.send(ControlEvent::Probed { node, probe }).await.unwrap_or_default();
             };
-            self.executor.spawn(probe).detach();
+            self.executor.spawn(probe_and_report).detach();
         }
     }
 }
 
-/// Returns the service whose targets form replicas, and its engine profile.
+/// Returns the first service whose targets form replicas, and its engine profile.
 fn engine_service(routes: &RouteTable) -> Option<(&ServiceName, &EngineProfile)> {
     let mut services = routes.config().services.iter();
     services.find_map(|service| Some((&service.name, service.engine.as_ref()?)))
--- a/crates/gateway/src/traffic/dispatch_state.rs
+++ b/crates/gateway/src/traffic/dispatch_state.rs
@@ -59,7 +59,7 @@
 }
 
 impl DispatchState {
-    /// Creates an empty state; the retry limits apply to all nodes together.
+    /// Creates an empty state; all nodes share `retry_saved_max`.
     pub(crate) fn new(seed: u64, retry_earned_per_arrival: f64, retry_saved_max: f64) -> Self {
         Self {
             routes: None,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Processes timers that are due; returns the destinations that have stalled.
+    /// Suspects the destinations that have stalled and returns them; processes timers that are due.
     pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<DestinationName> {
         let stalled = self.stall_detector.detect_stalled(now);
         for name in &stalled {
@@ -204,15 +204,15 @@
         self.pools.values().map(Pool::queued).sum()
     }
 
-    /// Cancels repeatable requests at a replica.
+    /// Cancels repeatable requests at a destination.
     ///
     /// The head of a replica that lost a member may accept requests for seconds before it notices.
     fn cancel_repeatable(&self, name: &DestinationName) {
-        let at_replica = self
+        let at_destination = self
             .active_requests
             .values()
             .filter(|active| active.destination.as_ref() == Some(name));
-        for active in at_replica.filter(|active| active.may_repeat) {
+        for active in at_destination.filter(|active| active.may_repeat) {
             // If the channel is full, an instruction is already pending.
             active.instructions.try_send(Instruction::Cancel).unwrap_or_default();
         }
@@ -254,12 +254,12 @@
             let engine = config.service(&key.service)?.engine.as_ref()?;
             Some((engine, engine.model(key.model.as_ref()?)?))
         });
-        let serves = match &key.model {
+        let class = match &key.model {
             Some(model) => RequestClass::Completion { model: model.clone(), adapter: None },
             None => RequestClass::Plain { service: key.service.clone() },
         };
         self.seed = self.seed.wrapping_add(1);
-        let mut pool = Pool::new(serves, self.seed, engine, self.retry_limits());
+        let mut pool = Pool::new(class, self.seed, engine, self.retry_limits());
         let mut out = Vec::new();
         pool.set_senders(now, self.senders, self.retry_limits(), &mut out);
         pool.set_targets(now, &self.eligible_destinations(now, key), &mut out);
--- a/crates/policy/src/fair/class.rs
+++ b/crates/policy/src/fair/class.rs
@@ -16,6 +16,7 @@
     pub(crate) queue: FairQueue<Ticket>,
     /// Targets that are up.
     pub(crate) targets: BTreeSet<TargetKey>,
+    /// Targets that can accept a request of this node now.
     pub(crate) available: TargetSet,
     /// Targets that are up and healthy, whether or not they have a free slot.
     pub(crate) healthy: TargetSet,
@@ -28,8 +29,9 @@
     /// Actual slot time of completed requests, and the estimates made when they were queued.
     pub(crate) actual_ms: Mean,
     pub(crate) expected_ms: Mean,
-    /// Fraction of its slots in use that a target reports.
+    /// Fraction of their slots that targets report as in use.
     pub(crate) reported_utilisation: RecentMean,
+    /// Whether estimated waits are corrected by the ratio of actual to estimated slot times.
     wait_feedback: bool,
     pub(crate) output_lengths: OutputTokenEstimates,
     pub(crate) retry_schedule: RetrySchedule,
@@ -49,7 +51,8 @@
     pooled: bool,
 }
 
-/// Limit of pooled slots of a node, relative to its even share, while the targets have capacity.
+/// Limit of a node's requests at pooled targets, relative to its even share, while these have
+/// capacity.
 const POOLED_SHARE_FACTOR: f64 = 2.0;
 
 /// Mean reported utilisation from which a node is limited to its even share. Without this limit the
@@ -88,8 +91,7 @@
         }
     }
 
-    /// Average load of the targets, for those not contacted recently; `None` if slots are not
-    /// pooled.
+    /// Average load, towards which old load reports decay; `None` if slots are not pooled.
     pub(crate) fn average(&self) -> Option<ClassAverage> {
         let average = ClassAverage {
             utilisation: self.reported_utilisation.value(),
@@ -117,8 +119,8 @@
 
     /// Whether one request may be sent although no target shows a free slot.
     ///
-    /// Load reports come with answers, so a node without requests in flight would regard the
-    /// targets as full until the process ends.
+    /// Load reports come with answers, so a node without requests in flight would not learn that a
+    /// target has free slots again.
     fn can_probe_load(&self) -> bool {
         self.in_flight.count == 0 && !self.healthy.is_empty()
     }
@@ -159,8 +161,8 @@
     /// Estimates the share of the slots that the flow of this entry receives.
     ///
     /// Weights alone are inaccurate while other flows come and go. The share observed since the
-    /// flow became active is therefore averaged with the nominal share, which counts as one turn of
-    /// all slots.
+    /// flow became active is therefore averaged with the nominal share, which weighs as much as one
+    /// request per slot.
     fn expected_share(&self, entry: &QueueEntry, ahead_ms: f64, capacity: f64) -> f64 {
         let all_queued_ms = self.queue.cost_ms().max(1) as f64;
         let nominal_share = self.queue.share(entry.flow).max(ahead_ms / all_queued_ms);
@@ -180,23 +182,23 @@
         (self.actual_ms.value() / self.expected_ms.value().max(1.0)).max(1.0)
     }
 
-    /// Estimates the time until a slot is free after the given amount of queued work.
+    /// Estimates the time until a slot is free after queued work of `work_ms` per slot.
     ///
     /// Slots taken at different times become free continuously, those taken in a burst all at once.
     /// The result interpolates between both, by the distance between the earliest and the mean
     /// remaining time.
-    fn next_slot_ms(&self, now: TimeMs, fluid_ms: f64) -> f64 {
+    fn next_slot_ms(&self, now: TimeMs, work_ms: f64) -> f64 {
         let first_ms =
             self.expected_ends.first().map_or(0, |&(end_ms, _)| end_ms.saturating_sub(now.get()));
         let first_ms = first_ms as f64;
         let step_ms = self.in_flight.mean_cost_ms().max(1.0);
         let mean_ms = self.in_flight.remaining_ms(now) / f64::from(self.in_flight.count.max(1));
         let staggered = ((mean_ms - first_ms) * 2.0 / step_ms).clamp(0.0, 1.0);
-        let stepped_ms = (fluid_ms / step_ms).floor() * step_ms;
-        first_ms + staggered * fluid_ms + (1.0 - staggered) * stepped_ms
+        let stepped_ms = (work_ms / step_ms).floor() * step_ms;
+        first_ms + staggered * work_ms + (1.0 - staggered) * stepped_ms
     }
 
-    /// Estimates the time until the queue of this entry's flow is drained.
+    /// Estimates the time until the queue of this entry's flow is empty.
     pub(crate) fn drain_ms(&self, now: TimeMs, entry: &QueueEntry, senders: u32) -> f64 {
         let own_ms = self.queue.flow_cost_ms(entry.flow) as f64 / self.queue.share(entry.flow);
         (self.in_flight.remaining_ms(now) + own_ms.min(self.queue.cost_ms() as f64))
--- a/crates/policy/src/fair/dispatch.rs
+++ b/crates/policy/src/fair/dispatch.rs
@@ -6,8 +6,7 @@
 use crate::interface::{Decision, TargetKey, Ticket};
 use crate::targets::{AttemptEstimate, HealthState};
 
-/// Least uncached prompt tokens of the first request for which another is preferred; for fewer, the
-/// change of order is not worth it.
+/// Least uncached prompt tokens of the first request for which another is preferred.
 const REORDER_UNCACHED_TOKENS_MIN: f64 = 2_048.0;
 
 /// Least slack of the first request for which another is preferred, in milliseconds.
@@ -96,7 +95,8 @@
 
     /// Updates the fraction of an indexed prefix that is cached where a request runs.
     ///
-    /// Under full load, costs that assume every indexed prefix to be cached admit too much.
+    /// Under full load, costs that assume every indexed prefix to be cached are too low, and too
+    /// many requests are admitted.
     fn learn_prefix_hit(&mut self, request: &RequestState, uncached_tokens: f64) {
         let class = &mut self.classes[request.class.get() as usize];
         let prefix_len = class.prefixes.prefix_len(&request.blocks) as f64;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Checks unavailable targets again if old reports decay towards the average.
+    /// Checks unavailable targets again if old load reports decay towards the average.
     fn refresh_unavailable(&mut self, now: TimeMs, class_key: ClassKey) {
         let class = self.class(class_key);
         if class.queue.is_empty() || class.average().is_none() {
